--- a/src/forwarding/attempt_ledger.cc
+++ b/src/forwarding/attempt_ledger.cc
@@ -17,24 +17,24 @@
          status == kUnavailable;
 }
 
-void AttemptLedger::noteEnd(AttemptEnd end) {
+void AttemptLedger::noteOutcome(AttemptOutcome end) {
   switch (end) {
-    case AttemptEnd::kNeverSent:
+    case AttemptOutcome::kNeverSent:
       ++never_sent_;
       break;
-    case AttemptEnd::kRefused:
+    case AttemptOutcome::kRefused:
       ++refused_;
       break;
-    case AttemptEnd::kUnknown:
+    case AttemptOutcome::kUnknown:
       ++unknown_;
       break;
-    case AttemptEnd::kFailed:
+    case AttemptOutcome::kFailed:
       ++failed_;
       break;
   }
 }
 
-bool AttemptLedger::mayTryAgain() const {
+bool AttemptLedger::mayRetry() const {
   if (refused_ >= kMaximumRefusals || never_sent_ >= kMaximumNeverSent) {
     return false;
   }
--- a/src/forwarding/attempt_ledger.h
+++ b/src/forwarding/attempt_ledger.h
@@ -12,7 +12,7 @@
 namespace quincewick::forwarding {
 
 // How one attempt ended that gave no answer to pass on.
-enum class AttemptEnd : uint8_t {
+enum class AttemptOutcome : uint8_t {
   kNeverSent,  // no byte of the request left
   kRefused,    // the server says that it did not run it
   kUnknown,    // sent, and the connection or the answer failed: it may have run
@@ -30,12 +30,12 @@
 
   // A byte of the request may leave for a server from now on.
   void noteSent() { ++sent_; }
-  void noteEnd(AttemptEnd end);
+  void noteOutcome(AttemptOutcome end);
 
   // Whether a further server may be asked, as far as the request itself allows; the budget is another matter.
-  bool mayTryAgain() const;
+  bool mayRetry() const;
   // Whether the next attempt counts as a repeat for the servers.
-  bool wouldRepeat() const { return sent_ > 0; }
+  bool isNextRetry() const { return sent_ > 0; }
   // Of the whole request, once its attempts have ended.
   Execution execution() const;
   // The status of a final answer of our own: 503 promises that the request has not run and never will.
--- a/src/forwarding/back_pressure.cc
+++ b/src/forwarding/back_pressure.cc
@@ -39,7 +39,7 @@
 }
 
 // A later answer may tell of a rest that ends sooner, as one to another request: the longest one holds.
-bool BackPressure::noteRest(absl::Duration rest, absl::Time now) {
+bool BackPressure::noteBackOff(absl::Duration rest, absl::Time now) {
   const absl::Time until = now + std::min(rest, kLongestRest);
   if (until <= std::max(now, rests_until_)) {
     return false;
@@ -57,14 +57,14 @@
 }
 
 // What was sent before the rest may be answered during it.
-void BackPressure::noteAnswered(absl::Time now) {
-  if (is_half_open_ && !rests(now)) {
+void BackPressure::noteResponse(absl::Time now) {
+  if (is_half_open_ && !isBackingOff(now)) {
     is_half_open_ = false;
     trial_until_ = absl::InfinitePast();
   }
 }
 
-absl::Time BackPressure::freeAt() const {
+absl::Time BackPressure::availableAt() const {
   return std::max({rate_used_up_until_, rests_until_, trial_until_});
 }
 
--- a/src/forwarding/back_pressure.h
+++ b/src/forwarding/back_pressure.h
@@ -25,16 +25,16 @@
 
   // The server turned a request away and wants none from this gateway for so long. Returns whether its rest
   // lasts longer now.
-  bool noteRest(absl::Duration rest, absl::Time now);
-  bool rests(absl::Time now) const { return now < rests_until_; }
-  absl::Time restsUntil() const { return rests_until_; }
+  bool noteBackOff(absl::Duration rest, absl::Time now);
+  bool isBackingOff(absl::Time now) const { return now < rests_until_; }
+  absl::Time backOffUntil() const { return rests_until_; }
   // A request goes there: the first one after a rest goes alone for a moment.
   void noteSent(absl::Time now);
   // An answer came that asks for no rest.
-  void noteAnswered(absl::Time now);
+  void noteResponse(absl::Time now);
 
   // From when on the server may be chosen, as far as its own word goes.
-  absl::Time freeAt() const;
+  absl::Time availableAt() const;
 
  private:
   std::optional<double> rate_limit_;
--- a/src/forwarding/crash_register.cc
+++ b/src/forwarding/crash_register.cc
@@ -28,33 +28,33 @@
 }  // namespace
 
 // A life that ends again later is another start, which the list doesn't show yet.
-CrashRegister::EndNumber CrashRegister::numberOf(const ServerEnd& end, absl::Time at) {
-  const auto last = last_of_life_.find(end.life);
+CrashRegister::EndNumber CrashRegister::numberOf(const ServerCrash& end, absl::Time at) {
+  const auto last = last_of_life_.find(end.incarnation);
   if (last != last_of_life_.end()) {
     if (at - ends_.at(last->second).at < kSameEnd) {
       return last->second;
     }
   }
   const EndNumber number = ++last_number_;
-  ends_[number] = {end.life, end.service, at, {}};
+  ends_[number] = {end.incarnation, end.service, at, {}};
   ends_in_order_.push_back(number);
-  last_of_life_[end.life] = number;
+  last_of_life_[end.incarnation] = number;
   return number;
 }
 
-bool CrashRegister::noteEnd(const ServerEnd& end, absl::Time now) {
+bool CrashRegister::noteCrash(const ServerCrash& end, absl::Time now) {
   const EndNumber number = numberOf(end, now - std::max(end.ago, absl::ZeroDuration()));
-  std::vector<RequestIdentity>& there = ends_.at(number).there;
-  for (const RequestIdentity& identity : end.there) {
-    if (there.size() >= kThereAtMost || holds(there, identity) || wasServed(identity, now)) {
+  std::vector<RequestIdentity>& in_flight = ends_.at(number).in_flight;
+  for (const RequestIdentity& identity : end.in_flight) {
+    if (in_flight.size() >= kThereAtMost || holds(in_flight, identity) || wasServed(identity, now)) {
       continue;
     }
-    there.push_back(identity);
+    in_flight.push_back(identity);
     suspects_[identity].push_back(number);
     ++presences_;
   }
   bool is_any_charged = false;
-  for (const RequestIdentity& identity : there) {
+  for (const RequestIdentity& identity : in_flight) {
     if (!blamed_.contains(identity) && isToBlame(identity)) {
       addBlame(identity, {now, now});
       is_any_charged = true;
@@ -70,30 +70,30 @@
   std::vector<RequestIdentity> to_blame;
   absl::erase_if(blamed_, [this, now, &to_blame](auto& entry) {
     auto& [identity, blame] = entry;
-    if (blame.is_settled || now - blame.since < kObjectionTime) {
+    if (blame.is_settled || now - blame.since < kEvidenceDelay) {
       return false;
     }
     blame.is_settled = isToBlame(identity);
     if (blame.is_settled) {
       to_blame.push_back(identity);
       // It has had the tries that the site allows.
-      blame.was_tried = endsUnder(identity) > kEndsToBlameAmongFalls;
+      blame.had_trial = crashCount(identity) > kCrashesToQuarantineAmidUnrelated;
     }
     return !blame.is_settled;
   });
   return to_blame;
 }
 
-size_t CrashRegister::endsUnder(const RequestIdentity& identity) const {
+size_t CrashRegister::crashCount(const RequestIdentity& identity) const {
   const auto found = suspects_.find(identity);
   return found == suspects_.end() ? 0 : found->second.size();
 }
 
 size_t CrashRegister::worstBeside(const End& end, const RequestIdentity& identity) const {
   size_t worst = 0;
-  for (const RequestIdentity& other : end.there) {
+  for (const RequestIdentity& other : end.in_flight) {
     if (other != identity) {
-      worst = std::max(worst, endsUnder(other));
+      worst = std::max(worst, crashCount(other));
     }
   }
   return worst;
@@ -101,7 +101,7 @@
 
 bool CrashRegister::isToBlame(const RequestIdentity& identity) const {
   const auto found = suspects_.find(identity);
-  if (found == suspects_.end() || found->second.size() < kEndsToBlame) {
+  if (found == suspects_.end() || found->second.size() < kCrashesToQuarantine) {
     return false;
   }
   const std::vector<EndNumber>& ends = found->second;
@@ -114,19 +114,20 @@
   }
   const size_t needed = endsToBlame(identity, contested == unexplained);
   // Two that end servers may have met at some of these ends.
-  const bool is_one_of_several = unexplained >= kEndsToRunApart && ends.size() > needed;
+  const bool is_one_of_several = unexplained >= kCrashesToIsolate && ends.size() > needed;
   return unexplained >= needed || is_one_of_several;
 }
 
 size_t CrashRegister::endsToBlame(const RequestIdentity& identity, bool is_contested) const {
   const std::vector<EndNumber>& ends = suspects_.at(identity);
-  if (fallsWithout(identity, ends) >= kFallsThatCount) {
-    return kEndsToBlameAmongFalls;
+  if (fallsWithout(identity, ends) >= kMinUnrelatedCrashes) {
+    return kCrashesToQuarantineAmidUnrelated;
   }
   const absl::Time first = ends_.at(ends.front()).at;
-  const bool came_at_once = ends_.at(ends.back()).at - first < kAtOnce;
+  const bool came_at_once = ends_.at(ends.back()).at - first < kBurstWindow;
   const bool are_falls_unknown = first - kFallsCount < started_;
-  return is_contested || came_at_once || are_falls_unknown ? kEndsToBlameAmongOthers : kEndsToBlame;
+  return is_contested || came_at_once || are_falls_unknown ? kCrashesToQuarantineIfContested
+                                                           : kCrashesToQuarantine;
 }
 
 size_t CrashRegister::fallsWithout(const RequestIdentity& identity,
@@ -136,7 +137,7 @@
   for (const auto& [number, end] : ends_) {
     const bool is_lately = end.service == first.service && end.at >= first.at - kFallsCount;
     const bool has_culprit = worstBeside(end, identity) > 1;
-    falls += is_lately && !has_culprit && !holds(end.there, identity) ? 1 : 0;
+    falls += is_lately && !has_culprit && !holds(end.in_flight, identity) ? 1 : 0;
   }
   return falls;
 }
@@ -162,33 +163,33 @@
     return;
   }
   for (const EndNumber number : found->second) {
-    presences_ -= std::erase(ends_.at(number).there, identity);
+    presences_ -= std::erase(ends_.at(number).in_flight, identity);
   }
   suspects_.erase(found);
 }
 
-bool CrashRegister::noteBlamed(const BlamedRequest& blamed, absl::Time now) {
+bool CrashRegister::noteQuarantined(const QuarantinedRequest& blamed, absl::Time now) {
   const auto found = blamed_.find(blamed.identity);
   const bool is_known = found != blamed_.end() && found->second.is_settled;
   if (is_known) {
-    found->second.was_tried = found->second.was_tried || blamed.was_tried;
+    found->second.had_trial = found->second.had_trial || blamed.had_trial;
   }
   if (wasServed(blamed.identity, now) || is_known) {
     return false;
   }
-  addBlame(blamed.identity, {now, now, true, blamed.was_tried});
+  addBlame(blamed.identity, {now, now, true, blamed.had_trial});
   return true;
 }
 
 bool CrashRegister::isTrialDue(const RequestIdentity& identity, absl::Time now) const {
   const auto found = blamed_.find(identity);
-  return found != blamed_.end() && found->second.is_settled && !found->second.was_tried && !apart_ &&
-         now - found->second.since >= kTrialAfter;
+  return found != blamed_.end() && found->second.is_settled && !found->second.had_trial && !apart_ &&
+         now - found->second.since >= kTrialDelay;
 }
 
 void CrashRegister::takeTrial(const RequestIdentity& identity, absl::Time now) {
   Blame& blame = blamed_.at(identity);
-  blame.was_tried = true;
+  blame.had_trial = true;
   blame.may_be_sent = true;
   apart_ = {identity, now};
 }
@@ -206,7 +207,7 @@
   if (const auto found = blamed_.find(identity); found != blamed_.end()) {
     found->second.may_be_sent = false;
   }
-  if (endsUnder(identity) >= kEndsToRunApart) {
+  if (crashCount(identity) >= kCrashesToIsolate) {
     apart_ = {identity, now};
   }
 }
@@ -220,8 +221,9 @@
 CrashVerdict CrashRegister::verdictOn(const RequestIdentity& identity, absl::Time now) {
   const auto found = blamed_.find(identity);
   if (found == blamed_.end()) {
-    const bool another_runs = apart_ && now - apart_->since < kApartAtMost;
-    return another_runs && endsUnder(identity) >= kEndsToRunApart ? CrashVerdict::kWait : CrashVerdict::kSend;
+    const bool another_runs = apart_ && now - apart_->since < kMaxIsolationTime;
+    return another_runs && crashCount(identity) >= kCrashesToIsolate ? CrashVerdict::kWait
+                                                                     : CrashVerdict::kSend;
   }
   found->second.asked = now;
   if (found->second.may_be_sent) {
@@ -230,7 +232,7 @@
   return found->second.is_settled ? CrashVerdict::kReject : CrashVerdict::kWait;
 }
 
-std::vector<BlamedRequest> CrashRegister::blamed(size_t most) const {
+std::vector<QuarantinedRequest> CrashRegister::blamed(size_t most) const {
   std::vector<std::pair<absl::Time, RequestIdentity>> all;
   all.reserve(blamed_.size());
   for (const auto& [identity, blame] : blamed_) {
@@ -240,10 +242,10 @@
   }
   std::sort(all.rbegin(), all.rend());
   all.resize(std::min(all.size(), most));
-  std::vector<BlamedRequest> result;
+  std::vector<QuarantinedRequest> result;
   result.reserve(all.size());
   for (const auto& [asked, identity] : all) {
-    result.push_back({identity, blamed_.at(identity).was_tried});
+    result.push_back({identity, blamed_.at(identity).had_trial});
   }
   return result;
 }
@@ -252,7 +254,7 @@
   std::vector<std::pair<size_t, RequestIdentity>> worst;
   for (const auto& [identity, ends] : suspects_) {
     const bool is_recent = now - ends_.at(ends.back()).at <= kEndsAreRetold;
-    if (ends.size() >= kEndsToRunApart && is_recent && !blamed_.contains(identity)) {
+    if (ends.size() >= kCrashesToIsolate && is_recent && !blamed_.contains(identity)) {
       worst.emplace_back(ends.size(), identity);
     }
   }
@@ -265,8 +267,8 @@
   return result;
 }
 
-std::vector<ServerEnd> CrashRegister::openEnds(size_t most, absl::Time now) const {
-  std::map<EndNumber, ServerEnd> open;
+std::vector<ServerCrash> CrashRegister::unresolvedCrashes(size_t most, absl::Time now) const {
+  std::map<EndNumber, ServerCrash> open;
   size_t held = 0;
   for (const RequestIdentity& identity : worstSuspects(now)) {
     const std::vector<EndNumber>& ends = suspects_.at(identity);
@@ -276,14 +278,14 @@
     }
     for (const EndNumber number : ends) {
       const End& end = ends_.at(number);
-      ServerEnd& told = open[number];
-      told.life = end.life;
+      ServerCrash& told = open[number];
+      told.incarnation = end.incarnation;
       told.service = end.service;
       told.ago = now - end.at;
-      told.there.push_back(identity);
+      told.in_flight.push_back(identity);
     }
   }
-  std::vector<ServerEnd> result;
+  std::vector<ServerCrash> result;
   result.reserve(open.size());
   for (auto& [number, end] : open) {
     result.push_back(std::move(end));
@@ -295,21 +297,21 @@
   const EndNumber number = ends_in_order_.front();
   ends_in_order_.pop_front();
   const End& end = ends_.at(number);
-  for (const RequestIdentity& identity : end.there) {
+  for (const RequestIdentity& identity : end.in_flight) {
     std::vector<EndNumber>& ends = suspects_.at(identity);
     std::erase(ends, number);
     if (ends.empty()) {
       suspects_.erase(identity);
     }
   }
-  presences_ -= end.there.size();
-  if (last_of_life_.at(end.life) == number) {
-    last_of_life_.erase(end.life);
+  presences_ -= end.in_flight.size();
+  if (last_of_life_.at(end.incarnation) == number) {
+    last_of_life_.erase(end.incarnation);
   }
   ends_.erase(number);
 }
 
-void CrashRegister::forgetOld(absl::Time now) {
+void CrashRegister::dropExpired(absl::Time now) {
   while (!ends_in_order_.empty() && now - ends_.at(ends_in_order_.front()).at > kEndsCount) {
     dropOldestEnd();
   }
--- a/src/forwarding/dialect.h
+++ b/src/forwarding/dialect.h
@@ -57,7 +57,7 @@
 
   // Requests and answers.
   virtual RequestFacts readRequest(const HttpHead& head) const = 0;
-  virtual AnswerFacts readAnswer(const HttpHead& head) const = 0;
+  virtual ResponseFacts readResponse(const HttpHead& head) const = 0;
   // The request's fields as a server gets them: the caller's own but for those of one connection and those
   // that the system sets.
   virtual HeaderFields fieldsForServer(const HttpHead& head, const SendFacts& facts) const = 0;
@@ -70,7 +70,7 @@
   virtual HttpCall followRows(std::string_view table, uint64_t after, absl::Duration wait) const = 0;
   // All of them or none.
   virtual HttpCall writeRows(const std::vector<RowWrite>& writes) const = 0;
-  virtual Result<StoreRows> readRowsAnswer(std::string_view body) const = 0;
+  virtual Result<StoreRows> readRowsResponse(std::string_view body) const = 0;
   // Rises when the store lost what it had acknowledged; nothing where none is told. Errors:
   // kInvalidArgument.
   virtual Result<std::optional<uint64_t>> readStoreEra(const HttpHead& head) const = 0;
--- a/src/forwarding/engine_capability.cc
+++ b/src/forwarding/engine_capability.cc
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-double EngineCapability::chanceOfPauseOver(absl::Duration allowed) const {
+double EngineCapability::probabilityOfPauseOver(absl::Duration allowed) const {
   if (pause <= absl::ZeroDuration()) {
     return 0;
   }
@@ -34,20 +34,20 @@
   return 1 / (1 + std::exp(1.7 * distance));
 }
 
-EngineCapability ToldCapability::at(absl::Time now) const {
+EngineCapability ReportedCapability::at(absl::Time now) const {
   if (told == absl::InfinitePast()) {
     return {};
   }
   const double trust = halved(std::max(now - told - kHeldFor, absl::ZeroDuration()));
   EngineCapability faded;
-  faded.read_per_token = kUnknownReadPerToken + (capability.read_per_token - kUnknownReadPerToken) * trust;
+  faded.read_per_token = kDefaultReadPerToken + (capability.read_per_token - kDefaultReadPerToken) * trust;
   faded.pause = capability.pause * trust;
   faded.pause_deviation = capability.pause_deviation * trust;
   return faded;
 }
 
 CapabilityEstimator::CapabilityEstimator(const EngineCapability& told, absl::Time now) : aged_(now) {
-  read_tokens_ = kGuessedTokens;
+  read_tokens_ = kPriorTokens;
   read_seconds_ = absl::ToDoubleSeconds(told.read_per_token) * read_tokens_;
   if (told.pause > absl::ZeroDuration()) {
     pauses_ = kFewestPauses;
@@ -56,9 +56,9 @@
   }
 }
 
-void CapabilityEstimator::noteRead(uint64_t tokens, absl::Duration took, absl::Time now) {
+void CapabilityEstimator::notePrefillDone(uint64_t tokens, absl::Duration took, absl::Time now) {
   age(now);
-  const double expected = absl::ToDoubleSeconds(kUnknownReadPerToken) * static_cast<double>(tokens);
+  const double expected = absl::ToDoubleSeconds(kDefaultReadPerToken) * static_cast<double>(tokens);
   const double seconds =
       std::clamp(absl::ToDoubleSeconds(took), expected / kSpeedsApart, expected * kSpeedsApart);
   read_tokens_ += static_cast<double>(tokens);
@@ -88,9 +88,9 @@
   CapabilityEstimator aged = *this;
   aged.age(now);
   EngineCapability result;
-  const double guessed_seconds = absl::ToDoubleSeconds(kUnknownReadPerToken) * kGuessedTokens;
+  const double guessed_seconds = absl::ToDoubleSeconds(kDefaultReadPerToken) * kPriorTokens;
   result.read_per_token =
-      absl::Seconds((aged.read_seconds_ + guessed_seconds) / (aged.read_tokens_ + kGuessedTokens));
+      absl::Seconds((aged.read_seconds_ + guessed_seconds) / (aged.read_tokens_ + kPriorTokens));
   // Fewer than that fade as well: the less is left of them, the less is said.
   if (aged.pauses_ > 0) {
     const double trust = std::min(1.0, aged.pauses_ / kFewestPauses);
--- a/src/forwarding/engine_capability.h
+++ b/src/forwarding/engine_capability.h
@@ -15,14 +15,14 @@
 
 // How fast an engine reads where nothing is known of it: a prompt's token on engines of today's sites, 26 to
 // 32 us by their sheets.
-inline constexpr absl::Duration kUnknownReadPerToken = absl::Microseconds(26);
+inline constexpr absl::Duration kDefaultReadPerToken = absl::Microseconds(26);
 
 // What that guess counts as beside readings, so that one alone tells little: two short prompts.
-inline constexpr double kGuessedTokens = 2000;
+inline constexpr double kPriorTokens = 2000;
 
 // As gateways tell it each other.
 struct EngineCapability {
-  absl::Duration read_per_token = kUnknownReadPerToken;
+  absl::Duration read_per_token = kDefaultReadPerToken;
   // The longest pause between pieces of a stream: the mean over streams, and how far they are from it at the
   // mean. Zero: not known.
   absl::Duration pause;
@@ -31,11 +31,11 @@
   friend bool operator==(const EngineCapability&, const EngineCapability&) = default;
 
   // How probable it is that a stream has a pause longer than that; 0 where nothing is known.
-  double chanceOfPauseOver(absl::Duration allowed) const;
+  double probabilityOfPauseOver(absl::Duration allowed) const;
 };
 
 // What was told of an engine, and when: it fades.
-struct ToldCapability {
+struct ReportedCapability {
   EngineCapability capability;
   absl::Time told = absl::InfinitePast();
 
@@ -49,7 +49,7 @@
   CapabilityEstimator(const EngineCapability& told, absl::Time now);
 
   // A prompt was read within `took`, with so many tokens in hand before its end, its own among them.
-  void noteRead(uint64_t tokens, absl::Duration took, absl::Time now);
+  void notePrefillDone(uint64_t tokens, absl::Duration took, absl::Time now);
   // A stream that had pauses ended; the longest one.
   void notePause(absl::Duration longest, absl::Time now);
 
--- a/src/forwarding/engine_placement.cc
+++ b/src/forwarding/engine_placement.cc
@@ -115,9 +115,9 @@
   if (!settings_.switches.home_rank) {
     return 0;
   }
-  const double displaced = settings_.switches.home_by_size ? settings_.displaced_read_weight : 0;
+  const double displaced = settings_.switches.home_by_size ? settings_.displaced_prefill_weight : 0;
   const absl::Duration step =
-      std::max(settings_.home_step, settings_.prefill_per_token * shared_tokens * displaced);
+      std::max(settings_.home_rank_penalty, settings_.prefill_per_token * shared_tokens * displaced);
   return absl::ToDoubleSeconds(step) * static_cast<double>(std::min(rank, kRanksThatCount));
 }
 
@@ -140,18 +140,18 @@
   result.load = loadSeconds(in_hand, server->entry.slots, capability);
   double seconds = prefill * static_cast<double>(chain.all_tokens - chain.shared_tokens);
   if (fetched > 0) {
-    seconds += absl::ToDoubleSeconds(settings_.move_overhead + settings_.move_per_token * fetched);
+    seconds += absl::ToDoubleSeconds(settings_.transfer_overhead + settings_.transfer_per_token * fetched);
   }
   result.own = seconds + prefill * static_cast<double>(shared_read);
   seconds += result.load;
-  seconds += prefill * settings_.shared_read_weight * static_cast<double>(shared_read);
+  seconds += prefill * settings_.shared_prefill_weight * static_cast<double>(shared_read);
   seconds += awayFromHome(chain.shared_tokens, circumstances.rank);
-  seconds += server->entry.zone == settings_.zone ? 0 : absl::ToDoubleSeconds(settings_.other_zone);
-  seconds += circumstances.has_old_weights ? absl::ToDoubleSeconds(settings_.old_weights) : 0;
+  seconds += server->entry.zone == settings_.zone ? 0 : absl::ToDoubleSeconds(settings_.other_zone_penalty);
+  seconds += circumstances.has_old_weights ? absl::ToDoubleSeconds(settings_.old_weights_penalty) : 0;
   seconds += kFailureSeconds * server->failureScore(now);
   if (settings_.switches.learned_speed) {
     const double reading = prefill * static_cast<double>(chain.all_tokens - kept - fetched);
-    seconds += settings_.read_beside_weight * reading * in_hand.running;
+    seconds += settings_.concurrent_prefill_weight * reading * in_hand.running;
     seconds += latenessByPauses(request, capability);
   }
   result.seconds = seconds;
@@ -171,17 +171,17 @@
 // counts as so much of the time that the first piece may take.
 double EnginePlacement::latenessByPauses(const PlacementRequest& request,
                                          const EngineCapability& capability) const {
-  const bool has_targets =
-      request.allowed_pause != absl::InfiniteDuration() && request.allowed_first != absl::InfiniteDuration();
+  const bool has_targets = request.allowed_pause != absl::InfiniteDuration() &&
+                           request.allowed_first_piece != absl::InfiniteDuration();
   if (!has_targets) {
     return 0;
   }
-  double chance = capability.chanceOfPauseOver(request.allowed_pause);
+  double chance = capability.probabilityOfPauseOver(request.allowed_pause);
   if (request.output_tokens > 0 && tokens_of_streams_ > 0) {
     // Of the streams that told: a shorter one meets fewer of the moments that make pauses.
     chance *= std::min(1.0, static_cast<double>(request.output_tokens) / tokens_of_streams_);
   }
-  return chance * absl::ToDoubleSeconds(request.allowed_first);
+  return chance * absl::ToDoubleSeconds(request.allowed_first_piece);
 }
 
 void EnginePlacement::notePauses(uint64_t output_tokens) {
@@ -197,17 +197,17 @@
   double seconds =
       absl::ToDoubleSeconds(capability.read_per_token) * static_cast<double>(in_hand.prefill_tokens);
   seconds += absl::ToDoubleSeconds(for_slot);
-  seconds += in_hand.running >= places * settings_.slots_for_full ? kFullSeconds : 0;
+  seconds += in_hand.running >= places * settings_.full_requests_per_slot ? kFullSeconds : 0;
   seconds += kCrowdingSeconds * in_hand.running / places;
   return seconds;
 }
 
 size_t EnginePlacement::candidatesAtMost() const {
-  if (!settings_.switches.few_candidates) {
+  if (!settings_.switches.limit_candidates) {
     return std::numeric_limits<size_t>::max();
   }
   return settings_.home_candidates + (settings_.switches.learned_speed
-                                          ? settings_.random_candidates_of_known_speed
+                                          ? settings_.random_candidates_with_learned_speed
                                           : settings_.random_candidates);
 }
 
@@ -276,10 +276,10 @@
   EngineChoice choice;
   choice.server = best->server;
   choice.version = best->version;
-  choice.own_seconds = least.own;
+  choice.service_seconds = least.own;
   choice.load_seconds = least.load;
   choice.pause = least.pause;
-  choice.most_load_seconds = least.load + std::max(second_best - least.seconds, kWorthAsking);
+  choice.max_load_seconds = least.load + std::max(second_best - least.seconds, kWorthAsking);
   chooseMemory(chains.at(best->version), directory, cache_stores, now, choice);
   return choice;
 }
@@ -299,7 +299,7 @@
     if (settings_.switches.fetch_from_engines && source != nullptr && source != choice.server &&
         source->is_listed && now >= source->ejected_until && kept >= most + kFewestTokensToFetch) {
       most = kept;
-      choice.memory_source = source->entry.address;
+      choice.cache_source = source->entry.address;
     }
   }
   choice.fetched_tokens = most - choice.cached_tokens;
@@ -312,10 +312,10 @@
   // before any engine. An engine sends all that it reads to the target, the request's own part as well: named
   // for every request, it would crowd the store with parts that nobody asks for again, and fill its link.
   if (cache_store != nullptr) {
-    choice.memory_source = cache_store->address;
+    choice.cache_source = cache_store->address;
     const bool is_kept = most == chain.shared_tokens;
-    if (!is_kept || !settings_.switches.store_only_unkept) {
-      choice.memory_target = cache_store->address;
+    if (!is_kept || !settings_.switches.store_only_uncached) {
+      choice.cache_target = cache_store->address;
     }
   }
 }
@@ -344,7 +344,7 @@
   in_slot_ += (in_slot - in_slot_) * kInSlotSmoothing;
 }
 
-void EnginePlacement::noteKept(EngineSlot engine, const std::vector<BlockKey>& keys, absl::Time now) {
+void EnginePlacement::noteCached(EngineSlot engine, const std::vector<BlockKey>& keys, absl::Time now) {
   PrefixChain chain;
   chain.blocks = keys;
   index_.observe(chain, now);
--- a/src/forwarding/engine_placement.h
+++ b/src/forwarding/engine_placement.h
@@ -26,10 +26,11 @@
   bool home_by_size = true;        // the more so the longer it is: elsewhere it takes room from other chains
   bool fetch_from_engines = true;  // an engine that keeps a chain is the source where no store can be reached
   bool cache_stores = true;        // stores of kept cache are source and target
-  bool store_only_unkept = true;   // a store gets what is read only of chains that nobody is believed to keep
-  bool few_candidates = true;      // a few engines are weighed for a request; off: all
-  bool booked_places = true;       // the keeper of an engine's books is asked before a request is sent there
-  bool late_gives_way = true;      // what is foretold to be late waits behind what can be in time
+  bool store_only_uncached =
+      true;                      // a store gets what is read only of chains that nobody is believed to keep
+  bool limit_candidates = true;  // a few engines are weighed for a request; off: all
+  bool reserve_slots = true;     // the keeper of an engine's books is asked before a request is sent there
+  bool late_yields = true;       // what is foretold to be late waits behind what can be in time
   // What gives way waits before all less urgent classes of its service, else behind all requests.
   bool late_within_class = false;
   // Engines are weighed by what each can do, as the keepers of their books learn it.
@@ -41,21 +42,22 @@
 struct EnginePlacementSettings {
   ZoneName zone;  // this node's
   PlacementSwitches switches;
-  absl::Duration prefill_per_token = kUnknownReadPerToken;
-  absl::Duration move_per_token = absl::Microseconds(16);  // fetched from another engine or a store
-  absl::Duration move_overhead = absl::Milliseconds(2);
-  double shared_read_weight = 3;  // reading a shared part again costs others more than this request's time
-  absl::Duration other_zone = absl::Milliseconds(3);
-  absl::Duration old_weights = absl::Milliseconds(250);  // what the loss of worth on them counts as
-  absl::Duration home_step = absl::Milliseconds(15);  // for each rank below a chain's first engine, at least
+  absl::Duration prefill_per_token = kDefaultReadPerToken;
+  absl::Duration transfer_per_token = absl::Microseconds(16);  // fetched from another engine or a store
+  absl::Duration transfer_overhead = absl::Milliseconds(2);
+  double shared_prefill_weight = 3;  // reading a shared part again costs others more than this request's time
+  absl::Duration other_zone_penalty = absl::Milliseconds(3);
+  absl::Duration old_weights_penalty = absl::Milliseconds(250);  // what the loss of worth on them counts as
+  absl::Duration home_rank_penalty =
+      absl::Milliseconds(15);  // for each rank below a chain's first engine, at least
   // A chain that leaves its home takes the place of as many tokens of other chains there, which are read
   // again then: each rank counts as so much of the time to read the chain's shared tokens.
-  double displaced_read_weight = 1.2;
+  double displaced_prefill_weight = 1.2;
   // With learnt speeds: reading a prompt holds up each request that runs beside it, and counts for each as so
   // much of the time that it takes. Measured on a calm day of uneven engines, where streams are late by
   // pauses: 85, 87 and 86 in 100 of the worth of requests was earned with 0, 0.1 and 0.2; on a crowded one
   // 75, 78 and 79.
-  double read_beside_weight = 0.1;
+  double concurrent_prefill_weight = 0.1;
   // For each request beyond an engine's slots, at least: what is known of the others' choices is old.
   absl::Duration wait_for_slot = absl::Milliseconds(40);
   // Only so many engines are weighed for a request, unless all of them are full: the first ones of its chain,
@@ -65,9 +67,9 @@
   size_t random_candidates = 3;
   // With learnt speeds more are looked at: among three drawn ones there is often none that is fast enough for
   // a stream's pauses, and the keepers of their books bound how many take the same one.
-  size_t random_candidates_of_known_speed = 9;
-  uint64_t random_salt = 0;     // differs from node to node
-  uint32_t slots_for_full = 2;  // running requests for each slot that make an engine full
+  size_t random_candidates_with_learned_speed = 9;
+  uint64_t random_salt = 0;             // differs from node to node
+  uint32_t full_requests_per_slot = 2;  // running requests for each slot that make an engine full
   size_t index_entries = 4096;
 };
 
@@ -79,7 +81,7 @@
   WeightsVersion wanted;           // on an older one the request is worth less
   // Between pieces, and until the first one, for the answer to be in time; infinite: any.
   absl::Duration allowed_pause = absl::InfiniteDuration();
-  absl::Duration allowed_first = absl::InfiniteDuration();
+  absl::Duration allowed_first_piece = absl::InfiniteDuration();
   uint64_t output_tokens = 0;  // at most, as declared; 0: not declared
 };
 
@@ -91,18 +93,18 @@
   uint64_t fetched_tokens = 0;  // believed to be fetched
   uint64_t read_tokens = 0;     // to be read there
   uint64_t shared_tokens = 0;   // of all parts but the own one
-  std::optional<Address> memory_source;
-  std::optional<Address> memory_target;
+  std::optional<Address> cache_source;
+  std::optional<Address> cache_target;
   std::vector<BlockKey> shared_keys;  // of the shared parts, in order
   bool is_new_placement = false;      // the engine did not keep all shared parts before: peers should know
-  double own_seconds = 0;             // until its first piece, but for what is in hand there
+  double service_seconds = 0;         // until its first piece, but for what is in hand there
   double load_seconds = 0;            // for what is in hand there, as far as known
   absl::Duration pause;               // the longest one of its streams, as far as known
   // Of work in hand: with more the next best engine is better, by what is known.
-  double most_load_seconds = 0;
+  double max_load_seconds = 0;
 
   // Expected, from now on.
-  absl::Duration firstPiece() const { return absl::Seconds(own_seconds + load_seconds); }
+  absl::Duration firstPiece() const { return absl::Seconds(service_seconds + load_seconds); }
 };
 
 class EnginePlacement {
@@ -129,7 +131,7 @@
   // A stream that declared so many tokens, at most, told of its engine's pauses.
   void notePauses(uint64_t output_tokens);
   // The engine now keeps the parts.
-  void noteKept(EngineSlot engine, const std::vector<BlockKey>& keys, absl::Time now);
+  void noteCached(EngineSlot engine, const std::vector<BlockKey>& keys, absl::Time now);
   // All that was believed of the engine is void: it went, or took new weights.
   void forget(EngineSlot engine) { index_.reset(engine); }
 
--- a/src/forwarding/occupancy_books.cc
+++ b/src/forwarding/occupancy_tracker.cc
@@ -1,4 +1,4 @@
-#include "forwarding/occupancy_books.h"
+#include "forwarding/occupancy_tracker.h"
 
 #include <algorithm>
 #include <utility>
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-ServerLoad OccupancyBooks::at(uint64_t engine, absl::Time now) {
+ServerLoad OccupancyTracker::at(uint64_t engine, absl::Time now) {
   const auto found = engines_.find(engine);
   if (found == engines_.end()) {
     return {};
@@ -24,12 +24,12 @@
   return found->second.sum;
 }
 
-bool OccupancyBooks::areComplete(uint64_t engine, absl::Time now) const {
+bool OccupancyTracker::isFullyObserved(uint64_t engine, absl::Time now) const {
   const auto found = engines_.find(engine);
   return found != engines_.end() && now - found->second.begun >= kNewBooks;
 }
 
-void OccupancyBooks::begin(uint64_t engine, const EngineCapability& told, absl::Time now) {
+void OccupancyTracker::begin(uint64_t engine, const EngineCapability& told, absl::Time now) {
   if (engines_.size() >= kEnginesAtMost) {
     absl::erase_if(engines_, [](const auto& entry) { return entry.second.reservations.empty(); });
   }
@@ -41,7 +41,8 @@
   }
 }
 
-void OccupancyBooks::reserve(const Name& name, uint64_t prefill_tokens, bool waits_for_slot, absl::Time now) {
+void OccupancyTracker::reserve(const ReservationId& name, uint64_t prefill_tokens, bool waits_for_slot,
+                               absl::Time now) {
   begin(name.engine, EngineCapability(), now);
   Engine& engine = engines_.at(name.engine);
   Reservation reservation;
@@ -56,7 +57,7 @@
   }
 }
 
-void OccupancyBooks::noteRead(const Name& name, absl::Time now) {
+void OccupancyTracker::notePrefillDone(const ReservationId& name, absl::Time now) {
   const auto engine = engines_.find(name.engine);
   if (engine == engines_.end()) {
     return;
@@ -69,11 +70,11 @@
   engine->second.sum.prefill_tokens -= std::exchange(reservation.prefill_tokens, 0);
   engine->second.last_read_begun = std::max(engine->second.last_read_begun, reservation.begun);
   if (std::exchange(reservation.tells_speed, false)) {
-    engine->second.capability.noteRead(reservation.tokens_ahead, now - reservation.begun, now);
+    engine->second.capability.notePrefillDone(reservation.tokens_ahead, now - reservation.begun, now);
   }
 }
 
-void OccupancyBooks::release(const Name& name, absl::Duration longest_pause, absl::Time now) {
+void OccupancyTracker::release(const ReservationId& name, absl::Duration longest_pause, absl::Time now) {
   const auto engine = engines_.find(name.engine);
   if (engine == engines_.end()) {
     return;
@@ -90,15 +91,15 @@
   }
 }
 
-EngineCapability OccupancyBooks::capability(uint64_t engine, absl::Time now) const {
+EngineCapability OccupancyTracker::capability(uint64_t engine, absl::Time now) const {
   const auto found = engines_.find(engine);
   return found == engines_.end() ? EngineCapability() : found->second.capability.at(now);
 }
 
 // A prompt that should have been read long ago tells of a slow or dead engine before any reading does. One
 // behind which others were read is not overdue: the message about its reading was lost.
-EngineCapability OccupancyBooks::withOverdue(uint64_t engine, EngineCapability capability,
-                                             absl::Time now) const {
+EngineCapability OccupancyTracker::withOverdue(uint64_t engine, EngineCapability capability,
+                                               absl::Time now) const {
   const auto found = engines_.find(engine);
   if (found == engines_.end()) {
     return capability;
@@ -107,14 +108,14 @@
     const bool is_awaited = reservation.tells_speed && reservation.begun > found->second.last_read_begun;
     if (is_awaited) {
       const absl::Duration so_far =
-          (now - reservation.begun) / (static_cast<double>(reservation.tokens_ahead) + kGuessedTokens);
+          (now - reservation.begun) / (static_cast<double>(reservation.tokens_ahead) + kPriorTokens);
       capability.read_per_token = std::max(capability.read_per_token, so_far);
     }
   }
   return capability;
 }
 
-void OccupancyBooks::dropLapsed(Engine& engine, absl::Time now) {
+void OccupancyTracker::dropLapsed(Engine& engine, absl::Time now) {
   if (now - engine.looked_through < kLookInterval) {
     return;
   }
--- a/src/forwarding/occupancy_books.h
+++ b/src/forwarding/occupancy_tracker.h
@@ -20,10 +20,10 @@
 
 namespace quincewick::forwarding {
 
-class OccupancyBooks {
+class OccupancyTracker {
  public:
   // A gateway's request at an engine, by the gateway's own number.
-  struct Name {
+  struct ReservationId {
     uint64_t engine = 0;  // its identity hash
     NodeId gateway;
     uint64_t number = 0;
@@ -34,14 +34,14 @@
   // What is in hand at the engine.
   ServerLoad at(uint64_t engine, absl::Time now);
   // Whether they have been kept for as long as nearly all requests take.
-  bool areComplete(uint64_t engine, absl::Time now) const;
+  bool isFullyObserved(uint64_t engine, absl::Time now) const;
   // The request is sent there; its prompt's tokens are still to be read. `waits_for_slot`: the engine's are
   // all taken, so the time until it is read says nothing of the engine's speed.
-  void reserve(const Name& name, uint64_t prefill_tokens, bool waits_for_slot, absl::Time now);
+  void reserve(const ReservationId& name, uint64_t prefill_tokens, bool waits_for_slot, absl::Time now);
   // Its first piece came: it was read.
-  void noteRead(const Name& name, absl::Time now);
+  void notePrefillDone(const ReservationId& name, absl::Time now);
   // It ended. `longest_pause`: between its pieces; zero where it had none.
-  void release(const Name& name, absl::Duration longest_pause, absl::Time now);
+  void release(const ReservationId& name, absl::Duration longest_pause, absl::Time now);
   // What the engine can do, from what was read and ended.
   EngineCapability capability(uint64_t engine, absl::Time now) const;
   // The same with what is overdue just now: for a place that is asked for now, and nothing later.
--- a/src/forwarding/request_facts.h
+++ b/src/forwarding/request_facts.h
@@ -31,7 +31,7 @@
       declared_tokens;  // of the prompt and the answer together; nothing: none are declared
 };
 
-struct AnswerFacts {
+struct ResponseFacts {
   std::string attempt_id;
   bool is_signed = false;        // by the server that made it
   bool is_not_run = false;       // the server says that it did not run the request
@@ -39,9 +39,9 @@
   std::optional<std::string> server_id;
   std::optional<WeightsVersion> weights_version;
   std::optional<absl::Duration> idle_limit;  // how long the server keeps an idle connection
-  std::optional<double> rate_limit;    // requests a second that the server takes from all gateways together
-  bool is_leaving = false;             // the server says that it leaves
-  std::optional<absl::Duration> rest;  // it turned the request away and wants none from here for so long
+  std::optional<double> rate_limit;  // requests a second that the server takes from all gateways together
+  bool is_leaving = false;           // the server says that it leaves
+  std::optional<absl::Duration> back_off;  // it turned the request away and wants none from here for so long
   std::vector<std::string> unreadable_fields;  // names of those whose values can't be read
 };
 
@@ -55,8 +55,8 @@
   // Of engines:
   std::optional<std::string> cache_salt;
   std::optional<WeightsVersion> weights_version;
-  std::optional<Address> memory_source;  // where to fetch what the engine lacks
-  std::optional<Address> memory_target;  // where to keep what it reads
+  std::optional<Address> cache_source;  // where to fetch what the engine lacks
+  std::optional<Address> cache_target;  // where to keep what it reads
 };
 
 }  // namespace quincewick::forwarding
--- a/src/forwarding/retry_budget.cc
+++ b/src/forwarding/retry_budget.cc
@@ -20,7 +20,7 @@
     return 0;
   }
   const double may_be = kNodesUnknown * static_cast<double>(most_nodes_known_);
-  return settings_.constant / std::max(may_be, static_cast<double>(settings_.fewest_nodes));
+  return settings_.constant / std::max(may_be, static_cast<double>(settings_.minimum_nodes));
 }
 
 RetryBudget::Bucket& RetryBudget::bucketOf(const ServiceName& service) {
@@ -41,14 +41,14 @@
   return found == buckets_.end() ? 0 : std::min(found->second.held, capacity());
 }
 
-double RetryBudget::fewestLeft() const {
+double RetryBudget::minimumLeft() const {
   const auto fewest = std::min_element(
       buckets_.begin(), buckets_.end(),
       [](const auto& one, const auto& other) { return one.second.held < other.second.held; });
   return fewest == buckets_.end() ? 0 : left(fewest->first);
 }
 
-bool RetryBudget::tryRepeat(const ServiceName& service) {
+bool RetryBudget::tryAcquireRetry(const ServiceName& service) {
   Bucket& bucket = bucketOf(service);
   bucket.held = std::min(bucket.held, capacity());
   if (bucket.held >= 1) {
--- a/src/forwarding/retry_budget.h
+++ b/src/forwarding/retry_budget.h
@@ -19,9 +19,9 @@
 namespace quincewick::forwarding {
 
 struct RetryBudgetSettings {
-  double ratio = 0.2;          // repeats for each request
-  double constant = 54;        // repeats of all nodes together in a window, whatever the requests
-  uint32_t fewest_nodes = 16;  // the site is taken to have at least so many
+  double ratio = 0.2;           // repeats for each request
+  double constant = 54;         // repeats of all nodes together in a window, whatever the requests
+  uint32_t minimum_nodes = 16;  // the site is taken to have at least so many
   // All nodes start for the first time: nobody has sent a repeat yet, so buckets start full. Later a bucket
   // starts empty, for the process before this one may have spent what it held.
   bool site_is_new = false;
@@ -42,11 +42,11 @@
   // A caller's request for the service.
   void noteRequest(const ServiceName& service);
   // Whether one more repeat may be sent; it is counted if so.
-  bool tryRepeat(const ServiceName& service);
+  bool tryAcquireRetry(const ServiceName& service);
   // Repeats that the service's bucket holds.
   double left(const ServiceName& service) const;
   // Of the service with the fewest; 0 before the first request.
-  double fewestLeft() const;
+  double minimumLeft() const;
 
  private:
   struct Bucket {
--- a/src/forwarding/server_choice.cc
+++ b/src/forwarding/server_choice.cc
@@ -44,13 +44,13 @@
   return best;
 }
 
-absl::Time firstFree(const std::vector<ServerDirectory::ServerPointer>& servers, absl::Time now) {
+absl::Time firstAvailableAt(const std::vector<ServerDirectory::ServerPointer>& servers, absl::Time now) {
   absl::Time first = absl::InfiniteFuture();
   for (const auto& server : servers) {
     if (server->isLeaving() || !server->is_readable) {
       continue;
     }
-    const absl::Time free_at = server->back_pressure->freeAt();
+    const absl::Time free_at = server->back_pressure->availableAt();
     if (free_at <= now) {
       return absl::InfiniteFuture();
     }
--- a/src/forwarding/server_choice.h
+++ b/src/forwarding/server_choice.h
@@ -20,6 +20,6 @@
 
 // When the first of the servers is free that only their own word holds back; infinite where one is free or
 // none is held back.
-absl::Time firstFree(const std::vector<ServerDirectory::ServerPointer>& servers, absl::Time now);
+absl::Time firstAvailableAt(const std::vector<ServerDirectory::ServerPointer>& servers, absl::Time now);
 
 }  // namespace quincewick::forwarding
--- a/src/forwarding/server_directory.cc
+++ b/src/forwarding/server_directory.cc
@@ -67,12 +67,12 @@
 }
 
 bool Server::mayReceive(absl::Time now) const {
-  return !isLeaving() && !back_pressure->rests(now);
+  return !isLeaving() && !back_pressure->isBackingOff(now);
 }
 
 bool Server::takesWork(absl::Time now) const {
   return !isLeaving() && is_readable && now >= ejected_until && now >= loading_until &&
-         now >= back_pressure->freeAt();
+         now >= back_pressure->availableAt();
 }
 
 EntryEffect ServerDirectory::upsert(ServerEntry entry) {
--- a/src/forwarding/server_directory.h
+++ b/src/forwarding/server_directory.h
@@ -50,7 +50,7 @@
   absl::Time loading_until = absl::InfinitePast();  // it is to take new weights: nothing new is sent there
   double latency_seconds = 0;                       // of plain requests, smoothed; 0: not known
 
-  ToldCapability capability;  // by the keeper of its books
+  ReportedCapability capability;  // by the keeper of its books
   // Of this life, also while its entry comes and goes.
   std::shared_ptr<BackPressure> back_pressure = std::make_shared<BackPressure>();
 
--- a/src/gateway/back_end_link.cc
+++ b/src/gateway/back_end_link.cc
@@ -139,7 +139,7 @@
 
 // Whether the answer is to this attempt; its head has been told then.
 bool BackEndLink::takeHead() {
-  const forwarding::AnswerFacts facts = pool_.core_.dialect->readAnswer(reader_.head());
+  const forwarding::ResponseFacts facts = pool_.core_.dialect->readResponse(reader_.head());
   const bool is_awaited = facts.attempt_id.empty() || facts.attempt_id == request_.attempt_id;
   noteBackPressure(pool_.core_, *server_, facts, is_awaited, reactor::steadyNow());
   if (!is_awaited) {
--- a/src/gateway/back_end_pool.h
+++ b/src/gateway/back_end_pool.h
@@ -31,7 +31,7 @@
   virtual void onSending() = 0;
   // No connection came up: nothing was sent.
   virtual void onNeverSent() = 0;
-  virtual void onAnswerHead(const HttpHead& head, const forwarding::AnswerFacts& facts) = 0;
+  virtual void onAnswerHead(const HttpHead& head, const forwarding::ResponseFacts& facts) = 0;
   virtual void onAnswerBody(std::string bytes) = 0;
   virtual void onAnswerEnd() = 0;
   // The connection ended, or carried no answer to this request, after the request was sent.
--- a/src/gateway/back_pressure_notes.cc
+++ b/src/gateway/back_pressure_notes.cc
@@ -6,7 +6,7 @@
 namespace {
 
 // The address may have another server by now: what that one says is not the expected server's word.
-bool isOfServer(const forwarding::Server& server, const forwarding::AnswerFacts& facts) {
+bool isOfServer(const forwarding::Server& server, const forwarding::ResponseFacts& facts) {
   const bool is_named_otherwise = facts.server_id && *facts.server_id != server.entry.id;
   return !(facts.is_other_server && is_named_otherwise);
 }
@@ -32,19 +32,19 @@
   }
 }
 
-void noteRest(Core& core, const forwarding::Server& server, absl::Duration rest, absl::Time now) {
-  if (server.back_pressure->noteRest(rest, now)) {
+void noteBackOff(Core& core, const forwarding::Server& server, absl::Duration back_off, absl::Time now) {
+  if (server.back_pressure->noteBackOff(back_off, now)) {
     core.metrics.countBackPressure("rest");
     core.log.event("server_rest", now)
         .with("server", server.entry.id)
         .with("service", server.entry.service.value())
-        .with("asked_ms", rest);
+        .with("asked_ms", back_off);
   }
 }
 
 }  // namespace
 
-void noteBackPressure(Core& core, const forwarding::Server& server, const forwarding::AnswerFacts& facts,
+void noteBackPressure(Core& core, const forwarding::Server& server, const forwarding::ResponseFacts& facts,
                       bool is_awaited, absl::Time now) {
   for (const std::string& field : facts.unreadable_fields) {
     core.metrics.countBackPressure("unreadable");
@@ -60,10 +60,10 @@
   if (facts.is_leaving) {
     noteLeaving(core, server, now);
   }
-  if (facts.rest) {
-    noteRest(core, server, *facts.rest, now);
+  if (facts.back_off) {
+    noteBackOff(core, server, *facts.back_off, now);
   } else if (is_awaited) {
-    server.back_pressure->noteAnswered(now);
+    server.back_pressure->noteResponse(now);
   }
 }
 
--- a/src/gateway/core.cc
+++ b/src/gateway/core.cc
@@ -26,7 +26,7 @@
   forwarding::RetryBudgetSettings result;
   result.ratio = settings.bounds.retry_ratio;
   result.constant = settings.bounds.retry_constant;
-  result.fewest_nodes = settings.gateways_assumed;
+  result.minimum_nodes = settings.gateways_assumed;
   result.site_is_new = settings.site_is_new;
   return result;
 }
--- a/src/gateway/crash_exchange.cc
+++ b/src/gateway/crash_exchange.cc
@@ -11,7 +11,7 @@
 
 using forwarding::CrashVerdict;
 using forwarding::RequestIdentity;
-using forwarding::ServerEnd;
+using forwarding::ServerCrash;
 
 // Ends of one moment go in one datagram.
 constexpr absl::Duration kGatherTime = absl::Milliseconds(20);
@@ -70,9 +70,10 @@
 }
 
 // What was served lately is sound: it is not told as one that was there.
-void CrashExchange::noteEnd(ServerEnd end) {
+void CrashExchange::noteCrash(ServerCrash end) {
   const absl::Time now = reactor::steadyNow();
-  std::erase_if(end.there, [this, now](const auto& identity) { return register_.wasServed(identity, now); });
+  std::erase_if(end.in_flight,
+                [this, now](const auto& identity) { return register_.wasServed(identity, now); });
   takeEnd(end, true);
   addNews(end);
 }
@@ -86,22 +87,22 @@
   for (const RequestIdentity& identity : message.sound) {
     takeSound(identity, false);
   }
-  for (const ServerEnd& end : message.ends) {
+  for (const ServerCrash& end : message.ends) {
     takeEnd(end, false);
   }
-  for (const forwarding::BlamedRequest& blamed : message.blamed) {
+  for (const forwarding::QuarantinedRequest& blamed : message.blamed) {
     takeBlamed(blamed);
   }
   return outcome::success();
 }
 
-void CrashExchange::takeEnd(const ServerEnd& end, bool is_own) {
-  for (const RequestIdentity& identity : end.there) {
+void CrashExchange::takeEnd(const ServerCrash& end, bool is_own) {
+  for (const RequestIdentity& identity : end.in_flight) {
     objects(identity);
   }
   const absl::Time now = reactor::steadyNow();
-  if (register_.noteEnd(end, now)) {
-    core_.timers.schedule(now + forwarding::CrashRegister::kObjectionTime,
+  if (register_.noteCrash(end, now)) {
+    core_.timers.schedule(now + forwarding::CrashRegister::kEvidenceDelay,
                           [this, is_own] { settle(is_own); });
   }
 }
@@ -109,7 +110,7 @@
 // All gateways come to it by the same evidence; the one that had its last piece writes it down.
 void CrashExchange::settle(bool writes_record) {
   for (const RequestIdentity& identity : register_.settle(reactor::steadyNow())) {
-    noteBlamed(identity, writes_record ? "own_evidence" : "peers_evidence");
+    noteQuarantined(identity, writes_record ? "own_evidence" : "peers_evidence");
     if (writes_record) {
       record_.write(identity);
     }
@@ -128,16 +129,16 @@
   }
 }
 
-void CrashExchange::takeBlamed(const forwarding::BlamedRequest& blamed) {
-  if (!objects(blamed.identity) && register_.noteBlamed(blamed, reactor::steadyNow())) {
-    noteBlamed(blamed.identity, "told");
+void CrashExchange::takeBlamed(const forwarding::QuarantinedRequest& blamed) {
+  if (!objects(blamed.identity) && register_.noteQuarantined(blamed, reactor::steadyNow())) {
+    noteQuarantined(blamed.identity, "told");
   }
 }
 
-void CrashExchange::noteBlamed(const RequestIdentity& identity, std::string_view by) {
+void CrashExchange::noteQuarantined(const RequestIdentity& identity, std::string_view by) {
   core_.log.event("request_blamed", reactor::steadyNow())
       .with("same_as", forwarding::printIdentity(identity))
-      .with("ends", static_cast<int64_t>(register_.endsUnder(identity)))
+      .with("ends", static_cast<int64_t>(register_.crashCount(identity)))
       .with("by", by);
 }
 
@@ -150,16 +151,16 @@
   return was_served;
 }
 
-void CrashExchange::addNews(const ServerEnd& end) {
-  const bool tells_much = std::any_of(end.there.begin(), end.there.end(), [this](const auto& identity) {
-    return register_.endsUnder(identity) > 1;
-  });
+void CrashExchange::addNews(const ServerCrash& end) {
+  const bool tells_much =
+      std::any_of(end.in_flight.begin(), end.in_flight.end(),
+                  [this](const auto& identity) { return register_.crashCount(identity) > 1; });
   const absl::Time due = reactor::steadyNow() + kGatherTime;
   constexpr size_t most = kCrashMessageRoom - kEndFrame;
-  for (size_t begin = 0; begin < end.there.size(); begin += most) {
-    const size_t size = std::min(most, end.there.size() - begin);
-    const auto first = end.there.begin() + static_cast<ptrdiff_t>(begin);
-    ServerEnd part{end.life, end.service, {first, first + static_cast<ptrdiff_t>(size)}};
+  for (size_t begin = 0; begin < end.in_flight.size(); begin += most) {
+    const size_t size = std::min(most, end.in_flight.size() - begin);
+    const auto first = end.in_flight.begin() + static_cast<ptrdiff_t>(begin);
+    ServerCrash part{end.incarnation, end.service, {first, first + static_cast<ptrdiff_t>(size)}};
     news_.push_back({std::move(part), reactor::steadyNow(), due, tells_much ? kRoundsOfTelling : 1});
   }
   while (news_.size() > kNewsAtMost) {
@@ -212,7 +213,7 @@
     --room;
   }
   for (EndNews& news : news_) {
-    const size_t size = kEndFrame + news.end.there.size();
+    const size_t size = kEndFrame + news.end.in_flight.size();
     if (news.due <= now && size <= room) {
       message.ends.push_back(news.end);
       message.ends.back().ago = now - news.seen;
@@ -231,7 +232,7 @@
 
 void CrashExchange::beat() {
   const absl::Time now = reactor::steadyNow();
-  register_.forgetOld(now);
+  register_.dropExpired(now);
   readRecordOnce();
   tellSome();
   core_.timers.schedule(now + kBeat, [this] { beat(); });
@@ -243,7 +244,7 @@
   CrashMessage message;
   message.blamed = register_.blamed(kCrashMessageRoom / 2);
   const size_t room = (kCrashMessageRoom - message.blamed.size()) / (1 + kEndFrame);
-  message.ends = register_.openEnds(room, reactor::steadyNow());
+  message.ends = register_.unresolvedCrashes(room, reactor::steadyNow());
   if (message.isEmpty() || peers.empty()) {
     return;
   }
@@ -261,7 +262,7 @@
   if (begins) {
     // Whether a request that only the record knows was tried once more isn't known any longer.
     record_.read([this](const RequestIdentity& identity) {
-      if (!register_.isBlamed(identity)) {
+      if (!register_.isQuarantined(identity)) {
         takeBlamed({identity, true});
       }
     });
--- a/src/gateway/crash_exchange.h
+++ b/src/gateway/crash_exchange.h
@@ -28,7 +28,7 @@
   void start(std::function<bool()> reads_store);
 
   // A server ended while these requests of this gateway were there.
-  void noteEnd(forwarding::ServerEnd end);
+  void noteCrash(forwarding::ServerCrash end);
   // A request was served whole here.
   void noteServed(const forwarding::RequestIdentity& identity);
   // An attempt at a server begins, and is over.
@@ -37,26 +37,26 @@
   // What may be done with the request now. Where it is sent though it is to blame, that is its trial.
   forwarding::CrashVerdict verdictOn(const forwarding::RequestIdentity& identity);
   bool isSuspect(const forwarding::RequestIdentity& identity) const { return register_.isSuspect(identity); }
-  size_t blamedCount() const { return register_.blamedCount(); }
+  size_t quarantinedCount() const { return register_.quarantinedCount(); }
   size_t suspectCount() const { return register_.suspectCount(); }
 
  private:
   struct EndNews {
-    forwarding::ServerEnd end;
+    forwarding::ServerCrash end;
     absl::Time seen;
     absl::Time due;
     int rounds = 1;  // in which it is still to be told
   };
 
   Result<void> take(const NodeId& from, std::string_view payload);
-  void takeEnd(const forwarding::ServerEnd& end, bool is_own);
+  void takeEnd(const forwarding::ServerCrash& end, bool is_own);
   void settle(bool writes_record);
   void takeSound(const forwarding::RequestIdentity& identity, bool is_own);
-  void takeBlamed(const forwarding::BlamedRequest& blamed);
-  void noteBlamed(const forwarding::RequestIdentity& identity, std::string_view by);
+  void takeBlamed(const forwarding::QuarantinedRequest& blamed);
+  void noteQuarantined(const forwarding::RequestIdentity& identity, std::string_view by);
   // Whether a request that is charged was served here: then the others hear that.
   bool objects(const forwarding::RequestIdentity& identity);
-  void addNews(const forwarding::ServerEnd& end);
+  void addNews(const forwarding::ServerCrash& end);
   void scheduleTelling(absl::Time at);
   void tellNews();
   // What is due now, as much as a datagram holds.
--- a/src/gateway/crash_message.cc
+++ b/src/gateway/crash_message.cc
@@ -14,17 +14,17 @@
 }  // namespace
 
 template <class Archive>
-void serialize(Archive& archive, ServerEnd& end) {
+void serialize(Archive& archive, ServerCrash& end) {
   auto ago_ms =
       static_cast<uint32_t>(std::clamp<int64_t>(absl::ToInt64Milliseconds(end.ago), 0, kLongestAgo));
-  archive(end.life, end.service, ago_ms);
-  archiveList(archive, end.there, kRequestsAtMost);
+  archive(end.incarnation, end.service, ago_ms);
+  archiveList(archive, end.in_flight, kRequestsAtMost);
   end.ago = absl::Milliseconds(ago_ms);
 }
 
 template <class Archive>
-void serialize(Archive& archive, BlamedRequest& blamed) {
-  archive(blamed.identity, blamed.was_tried);
+void serialize(Archive& archive, QuarantinedRequest& blamed) {
+  archive(blamed.identity, blamed.had_trial);
 }
 
 }  // namespace quincewick::forwarding
--- a/src/gateway/crash_message.h
+++ b/src/gateway/crash_message.h
@@ -14,9 +14,9 @@
 
 // Lists that have nothing to tell are empty.
 struct CrashMessage {
-  std::vector<forwarding::ServerEnd> ends;
-  std::vector<forwarding::RequestIdentity> sound;  // served whole at the sender, though charged
-  std::vector<forwarding::BlamedRequest> blamed;   // to be rejected
+  std::vector<forwarding::ServerCrash> ends;
+  std::vector<forwarding::RequestIdentity> sound;      // served whole at the sender, though charged
+  std::vector<forwarding::QuarantinedRequest> blamed;  // to be rejected
 
   bool isEmpty() const { return ends.empty() && sound.empty() && blamed.empty(); }
 };
--- a/src/gateway/crash_watch.cc
+++ b/src/gateway/crash_watch.cc
@@ -60,7 +60,7 @@
       .with("server", look.server->entry.id)
       .with("service", look.server->entry.service.value())
       .with("requests", static_cast<int64_t>(look.there.size()));
-  exchange_.noteEnd({life, hashOf(look.server->entry.service.value()), std::move(look.there)});
+  exchange_.noteCrash({life, hashOf(look.server->entry.service.value()), std::move(look.there)});
 }
 
 CrashVerdict CrashWatch::verdictOn(const RequestIdentity& identity) {
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -12,7 +12,7 @@
 namespace quincewick::gateway {
 namespace {
 
-using forwarding::AttemptEnd;
+using forwarding::AttemptOutcome;
 using forwarding::RepeatKind;
 
 constexpr absl::Duration kLeastTimeToTry = absl::Milliseconds(15);
@@ -76,7 +76,7 @@
     giveUp(false, kNoServer);
     return;
   }
-  if (engine_ && core_.settings.placement.booked_places) {
+  if (engine_ && core_.settings.placement.reserve_slots) {
     askForPlace();
   } else {
     sendChosen();
@@ -148,7 +148,7 @@
     askForRate();
     return;
   }
-  if (ledger_.wouldRepeat() && !mayRepeat(now)) {
+  if (ledger_.isNextRetry() && !mayRepeat(now)) {
     releaseServer();
     server_ = nullptr;
     giveUp(false, "retry_budget");
@@ -170,7 +170,7 @@
 }
 
 bool Exchange::mayRepeat(absl::Time now) {
-  const bool may = core_.budget.tryRepeat(service_);
+  const bool may = core_.budget.tryAcquireRetry(service_);
   core_.log.event("repeat", now)
       .with("request", facts_.attempt_id)
       .with("service", service_.value())
@@ -218,7 +218,7 @@
   }
   counted_ =
       gives_way_ ? forwarding::ServerLoad() : forwarding::ServerLoad{1, engine_ ? engine_->read_tokens : 0};
-  if (ledger_.wouldRepeat()) {
+  if (ledger_.isNextRetry()) {
     core_.metrics.countRetry();
     if (head_passed_) {
       core_.metrics.countResumed();
@@ -246,8 +246,8 @@
     send.urgency = levelAtEngine();
     send.cache_salt = engine_->salt;
     send.weights_version = engine_->version;
-    send.memory_source = engine_->memory_source;
-    send.memory_target = engine_->memory_target;
+    send.cache_source = engine_->cache_source;
+    send.cache_target = engine_->cache_target;
   }
   HeaderFields fields = core_.dialect->fieldsForServer(head_, send);
   if (!body_.empty() || findField(head_.fields, "Content-Length") != nullptr ||
@@ -273,10 +273,10 @@
 
 void Exchange::onNeverSent() {
   const auto self = shared_from_this();
-  endAttempt(AttemptEnd::kNeverSent);
+  endAttempt(AttemptOutcome::kNeverSent);
 }
 
-void Exchange::endAttempt(AttemptEnd end) {
+void Exchange::endAttempt(AttemptOutcome end) {
   core_.metrics.countAttempt(end);
   core_.log.event("attempt_ended", reactor::steadyNow())
       .with("request", facts_.attempt_id)
@@ -287,14 +287,15 @@
       .with("after_ms", reactor::steadyNow() - attempt_began_);
   releaseServer();
   attempt_.reset();
-  ledger_.noteEnd(end);
-  has_failure_ = end == AttemptEnd::kFailed && !head_passed_ && !forwarding::promisesNotRun(answer_.status);
+  ledger_.noteOutcome(end);
+  has_failure_ =
+      end == AttemptOutcome::kFailed && !head_passed_ && !forwarding::promisesNotRun(answer_.status);
   const bool is_cut = head_passed_ && !(route_->kind == RepeatKind::kStream && route_->is_resumable);
   if (done_ || sink_ == nullptr) {
     complete("caller_left");
     return;
   }
-  if (!is_cut && ledger_.mayTryAgain()) {
+  if (!is_cut && ledger_.mayRetry()) {
     tryNext();
     return;
   }
@@ -325,7 +326,7 @@
   if (done_) {
     return;
   }
-  const bool was_sent = ledger_.wouldRepeat();
+  const bool was_sent = ledger_.isNextRetry();
   noteRolloutEnd(RolloutExchange::End::kFailed);
   attempt_.reset();
   releaseServer();
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -37,7 +37,7 @@
  private:
   void onSending() override;
   void onNeverSent() override;
-  void onAnswerHead(const HttpHead& head, const forwarding::AnswerFacts& facts) override;
+  void onAnswerHead(const HttpHead& head, const forwarding::ResponseFacts& facts) override;
   void onAnswerBody(std::string bytes) override;
   void onAnswerEnd() override;
   void onAnswerBroken() override;
@@ -91,8 +91,8 @@
   uint32_t levelAtEngine() const;
   void notePlacement(absl::Time now);
   void sendAttempt();
-  Verdict judge(const HttpHead& head, const forwarding::AnswerFacts& facts) const;
-  void endAttempt(forwarding::AttemptEnd end);
+  Verdict judge(const HttpHead& head, const forwarding::ResponseFacts& facts) const;
+  void endAttempt(forwarding::AttemptOutcome end);
   void releaseServer();
   void passEvents(std::string_view bytes);
   void notePiece();
--- a/src/gateway/exchange_answer.cc
+++ b/src/gateway/exchange_answer.cc
@@ -8,7 +8,7 @@
 namespace quincewick::gateway {
 namespace {
 
-using forwarding::AttemptEnd;
+using forwarding::AttemptOutcome;
 using forwarding::RepeatKind;
 using forwarding::ServerDirectory;
 
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-Exchange::Verdict Exchange::judge(const HttpHead& head, const forwarding::AnswerFacts& facts) const {
+Exchange::Verdict Exchange::judge(const HttpHead& head, const forwarding::ResponseFacts& facts) const {
   if (facts.is_not_run || facts.is_other_server) {
     return Verdict::kRefused;
   }
@@ -43,7 +43,7 @@
   return Verdict::kPassOn;
 }
 
-void Exchange::onAnswerHead(const HttpHead& head, const forwarding::AnswerFacts& facts) {
+void Exchange::onAnswerHead(const HttpHead& head, const forwarding::ResponseFacts& facts) {
   const absl::Time now = reactor::steadyNow();
   answer_ = head;
   verdict_ = judge(head, facts);
@@ -103,13 +103,13 @@
   server_->own.prefill_tokens -= std::min(server_->own.prefill_tokens, counted_.prefill_tokens);
   counted_.prefill_tokens = 0;
   if (place_ && !is_read_) {
-    core_.occupancy->noteRead(*place_);
+    core_.occupancy->notePrefillDone(*place_);
   }
   is_read_ = true;
   if (counted_.running == 0) {
     ++server_->own.running;
     counted_.running = 1;
-    if (core_.settings.placement.booked_places) {
+    if (core_.settings.placement.reserve_slots) {
       reserveBegun();
     }
   }
@@ -188,17 +188,17 @@
   switch (verdict_) {
     case Verdict::kRefused:
       ServerDirectory::noteFailure(*server_, kRefusalWeight, now);
-      endAttempt(AttemptEnd::kRefused);
+      endAttempt(AttemptOutcome::kRefused);
       return;
     case Verdict::kBroken:
       noteRolloutEnd(RolloutExchange::End::kFailed);
       ServerDirectory::noteFailure(*server_, kBrokenWeight, now);
-      endAttempt(AttemptEnd::kUnknown);
+      endAttempt(AttemptOutcome::kUnknown);
       return;
     case Verdict::kFailed:
       noteRolloutEnd(RolloutExchange::End::kFailed);
       ServerDirectory::noteFailure(*server_, kFailureWeight, now);
-      endAttempt(AttemptEnd::kFailed);
+      endAttempt(AttemptOutcome::kFailed);
       return;
     case Verdict::kPassOn:
       break;
@@ -243,7 +243,7 @@
   noteRolloutEnd(RolloutExchange::End::kFailed);
   ServerDirectory::noteFailure(*server_, kBrokenWeight, reactor::steadyNow());
   core_.crashes->noteBroken(server_, identity_);
-  endAttempt(AttemptEnd::kUnknown);
+  endAttempt(AttemptOutcome::kUnknown);
 }
 
 }  // namespace quincewick::gateway
--- a/src/gateway/exchange_placement.cc
+++ b/src/gateway/exchange_placement.cc
@@ -20,7 +20,7 @@
   request.wanted = core_.weights.wanted(facts_.model, now);
   request.allowed_pause = route_->allowed_pause.value_or(absl::InfiniteDuration());
   request.output_tokens = facts_.output_tokens;
-  request.allowed_first = route_->target_latency.value_or(absl::InfiniteDuration());
+  request.allowed_first_piece = route_->target_latency.value_or(absl::InfiniteDuration());
   const std::vector<forwarding::CacheStoreTraits> cache_stores = core_.liveCacheStores();
   const auto choose = [&](WeightsVersion least) {
     return core_.placement.choose(request, servers, core_.directory, cache_stores, tried_, least, now);
@@ -40,7 +40,7 @@
 // The last of some engines is taken as it is.
 void Exchange::askForPlace() {
   ++places_asked_;
-  const double most = places_asked_ < kPlacesAskedAtMost ? engine_->most_load_seconds
+  const double most = places_asked_ < kPlacesAskedAtMost ? engine_->max_load_seconds
                                                          : std::numeric_limits<double>::infinity();
   is_place_answered_ = false;
   const uint32_t turn = ++place_turn_;
@@ -106,14 +106,14 @@
   if (tried_.empty()) {
     foretold_first_ = now - began_ + engine_->firstPiece();
   }
-  core_.placement.noteKept(server_->slot, engine_->shared_keys, now);
+  core_.placement.noteCached(server_->slot, engine_->shared_keys, now);
   if (engine_->is_new_placement) {
     core_.new_placements.push_back({server_->identity_hash, engine_->shared_keys});
   }
 }
 
 bool Exchange::isForetoldLate() const {
-  if (!core_.settings.placement.late_gives_way || !route_->target_latency || head_passed_) {
+  if (!core_.settings.placement.late_yields || !route_->target_latency || head_passed_) {
     return false;
   }
   const absl::Duration so_far = reactor::steadyNow() - began_;
--- a/src/gateway/exchange_rate.cc
+++ b/src/gateway/exchange_rate.cc
@@ -58,7 +58,7 @@
 // Where every server of the service is held back by its own word, the time until the first one is free.
 absl::Duration Exchange::retryAfter() const {
   const absl::Time now = reactor::steadyNow();
-  const absl::Time free_at = forwarding::firstFree(core_.directory.ofService(service_), now);
+  const absl::Time free_at = forwarding::firstAvailableAt(core_.directory.ofService(service_), now);
   return free_at == absl::InfiniteFuture() ? kRetryAfter : std::max(kRetryAfter, free_at - now);
 }
 
--- a/src/gateway/exchange_rollout.cc
+++ b/src/gateway/exchange_rollout.cc
@@ -25,7 +25,7 @@
 }
 
 bool Exchange::chooseSoftware() {
-  software_ = core_.rollouts->choose({service_, route_->name, placeAmongPrompts(), ledger_.wouldRepeat()});
+  software_ = core_.rollouts->choose({service_, route_->name, placeAmongPrompts(), ledger_.isNextRetry()});
   return software_.has_value();
 }
 
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -144,9 +144,9 @@
   levels.peers = static_cast<double>(peers_.livePeers(now).size());
   levels.servers = static_cast<double>(core_.directory.all().size());
   levels.servers_age_seconds = absl::ToDoubleSeconds(now - core_.servers_as_of);
-  levels.repeats_left = core_.budget.fewestLeft();
+  levels.repeats_left = core_.budget.minimumLeft();
   levels.requests_suspect = static_cast<double>(crash_exchange_.suspectCount());
-  levels.requests_blamed = static_cast<double>(crash_exchange_.blamedCount());
+  levels.requests_blamed = static_cast<double>(crash_exchange_.quarantinedCount());
   levels.rollouts_running = core_.rollouts != nullptr && core_.rollouts->isAnyRunning() ? 1 : 0;
   levels.caller_connections = static_cast<double>(connections_.size());
   levels.server_connections_opened = static_cast<double>(pool_.openedConnections());
--- a/src/gateway/gateway_metrics.cc
+++ b/src/gateway/gateway_metrics.cc
@@ -7,7 +7,7 @@
 namespace quincewick::gateway {
 namespace {
 
-using forwarding::AttemptEnd;
+using forwarding::AttemptOutcome;
 using forwarding::RepeatKind;
 
 const prometheus::Histogram::BucketBoundaries& latencyBuckets() {
@@ -44,15 +44,15 @@
   return "none";
 }
 
-const char* nameOf(AttemptEnd end) {
+const char* nameOf(AttemptOutcome end) {
   switch (end) {
-    case AttemptEnd::kNeverSent:
+    case AttemptOutcome::kNeverSent:
       return "never_sent";
-    case AttemptEnd::kRefused:
+    case AttemptOutcome::kRefused:
       return "refused";
-    case AttemptEnd::kUnknown:
+    case AttemptOutcome::kUnknown:
       return "unknown";
-    case AttemptEnd::kFailed:
+    case AttemptOutcome::kFailed:
       return "failed";
   }
   return "unknown";
@@ -138,7 +138,7 @@
   refusals_.Add({{"status", std::to_string(status)}, {"reason", std::string(why)}}).Increment();
 }
 
-void GatewayMetrics::countAttempt(AttemptEnd end) {
+void GatewayMetrics::countAttempt(AttemptOutcome end) {
   attempts_.Add({{"end", nameOf(end)}}).Increment();
 }
 
--- a/src/gateway/gateway_metrics.h
+++ b/src/gateway/gateway_metrics.h
@@ -29,7 +29,7 @@
   // This gateway asked the store itself whether its configuration is the newest.
   void countConfirmation(bool is_answered);
   void countRefusal(int status, std::string_view why);
-  void countAttempt(forwarding::AttemptEnd end);
+  void countAttempt(forwarding::AttemptOutcome end);
   void countRetry() { retries_->Increment(); }
   void countResumed() { streams_resumed_->Increment(); }
   void countCut() { streams_cut_->Increment(); }
--- a/src/gateway/occupancy_exchange.cc
+++ b/src/gateway/occupancy_exchange.cc
@@ -94,7 +94,7 @@
   const absl::Time now = reactor::steadyNow();
   forwarding::ServerLoad in_hand = books_.at(question.engine, now);
   const auto server = core_.directory.findByHash(question.engine);
-  if (server != nullptr && !books_.areComplete(question.engine, now)) {
+  if (server != nullptr && !books_.isFullyObserved(question.engine, now)) {
     in_hand.running = std::max(in_hand.running, server->running());
     in_hand.prefill_tokens = std::max(in_hand.prefill_tokens, server->prefillTokens());
   }
@@ -132,7 +132,7 @@
   if (told_.size() >= kToldAtMost) {
     told_.clear();
   }
-  forwarding::ToldCapability& told = told_[engine];
+  forwarding::ReportedCapability& told = told_[engine];
   const absl::Duration since = now - told.told;
   const bool is_due =
       since >= kTellAgain || (since >= kTellAtMostEvery && isWorthTelling(capability, told.capability));
@@ -155,7 +155,7 @@
       send(from, decide(from, message));
       return;
     case OccupancyMessageKind::kRead:
-      books_.noteRead({message.engine, from, message.number}, reactor::steadyNow());
+      books_.notePrefillDone({message.engine, from, message.number}, reactor::steadyNow());
       return;
     case OccupancyMessageKind::kRelease:
       books_.release({message.engine, from, message.number}, absl::Milliseconds(message.pause_ms),
@@ -182,7 +182,7 @@
   answered(place_answer);
 }
 
-void OccupancyExchange::noteRead(const Place& place) {
+void OccupancyExchange::notePrefillDone(const Place& place) {
   tell(place, OccupancyMessageKind::kRead, absl::ZeroDuration());
 }
 
--- a/src/gateway/occupancy_exchange.h
+++ b/src/gateway/occupancy_exchange.h
@@ -10,7 +10,7 @@
 #include <optional>
 #include <vector>
 
-#include "forwarding/occupancy_books.h"
+#include "forwarding/occupancy_tracker.h"
 #include "gateway/core.h"
 #include "gateway/occupancy_messages.h"
 #include "gateway/peer_directory.h"
@@ -46,7 +46,7 @@
                    Answered answered);
   // Nobody waits for the answer any more: a place that is held all the same is given back.
   void forget(uint64_t number) { questions_.erase(number); }
-  void noteRead(const Place& place);
+  void notePrefillDone(const Place& place);
   // `longest_pause`: between the request's pieces; zero where it had none.
   void release(const Place& place, absl::Duration longest_pause = absl::ZeroDuration());
 
@@ -74,10 +74,10 @@
   PeerDirectory& directory_;
   PeerExchange& peers_;
   routing::KeeperRanks ranks_;
-  forwarding::OccupancyBooks books_;
+  forwarding::OccupancyTracker books_;
   absl::btree_map<uint64_t, Question> questions_;  // by rising numbers, so by rising times to give up
   absl::btree_map<NodeId, absl::Time> probed_;
-  absl::flat_hash_map<uint64_t, forwarding::ToldCapability> told_;  // to peers, by engine
+  absl::flat_hash_map<uint64_t, forwarding::ReportedCapability> told_;  // to peers, by engine
   uint64_t last_number_ = 0;
   bool has_timer_ = false;
 };
--- a/src/gateway/order_giver.cc
+++ b/src/gateway/order_giver.cc
@@ -89,7 +89,7 @@
       if (const auto reserved = reserved_.find(server->identity_hash); reserved != reserved_.end()) {
         engine.reserved_since = reserved->second;
       }
-      engine.is_reachable = now >= server->ejected_until && !server->back_pressure->rests(now);
+      engine.is_reachable = now >= server->ejected_until && !server->back_pressure->isBackingOff(now);
       engine.running = server->running();
       engines.push_back(std::move(engine));
     }
@@ -150,7 +150,7 @@
 
 void OrderGiver::noteReply(const Load& load, const Result<reactor::HttpReply>& reply) {
   if (reply.has_value()) {
-    noteBackPressure(core_, *load.server, core_.dialect->readAnswer(reply.value().head), true,
+    noteBackPressure(core_, *load.server, core_.dialect->readResponse(reply.value().head), true,
                      reactor::steadyNow());
   }
 }
@@ -279,14 +279,14 @@
   const forwarding::BackPressure& pressure = *load.server->back_pressure;
   const absl::Duration paced =
       std::max(after, std::min(kReportsOfRate * pressure.timePerRequest(), kLongestReportPause));
-  const absl::Time rested = std::min(pressure.restsUntil(), load.began + kLoadLimit);
+  const absl::Time rested = std::min(pressure.backOffUntil(), load.began + kLoadLimit);
   const absl::Time at = std::max(reactor::steadyNow() + paced, rested);
   core_.timers.schedule(at, [this, server_id] {
     const auto found = loads_.find(server_id);
     if (found == loads_.end()) {
       return;
     }
-    if (found->second.server->back_pressure->rests(reactor::steadyNow())) {
+    if (found->second.server->back_pressure->isBackingOff(reactor::steadyNow())) {
       finish(server_id, false);
     } else {
       askReport(server_id);
--- a/src/gateway/peer_exchange_receive.cc
+++ b/src/gateway/peer_exchange_receive.cc
@@ -89,7 +89,7 @@
   const Origin origin = isNear(peer) ? Origin::kZone : Origin::kFar;
   for (const PlacementDigest& placement : digest.placements) {
     if (const auto server = core_.directory.findByHash(placement.server)) {
-      core_.placement.noteKept(server->slot, placement.keys, now);
+      core_.placement.noteCached(server->slot, placement.keys, now);
     }
     if (is_passed_on) {
       addPlacement(placement, origin);
--- a/src/gateway/store_client.cc
+++ b/src/gateway/store_client.cc
@@ -38,7 +38,7 @@
                  StoreStatus status = statusOf(reply);
                  forwarding::StoreRows rows;
                  if (status == StoreStatus::kDone || status == StoreStatus::kConflict) {
-                   auto read = core_.dialect->readRowsAnswer(reply.value().body);
+                   auto read = core_.dialect->readRowsResponse(reply.value().body);
                    const bool counts =
                        read.has_value() && noteSign(reply.value().head, read.value().version, began);
                    if (counts) {
--- a/tests/forwarding/attempt_ledger_test.cc
+++ b/tests/forwarding/attempt_ledger_test.cc
@@ -17,25 +17,26 @@
 };
 
 // Ends that the request's attempts meet in turn, while the ledger allows a further one.
-Truth play(AttemptLedger& ledger, const std::vector<AttemptEnd>& ends) {
+Truth play(AttemptLedger& ledger, const std::vector<AttemptOutcome>& ends) {
   Truth truth;
-  for (const AttemptEnd end : ends) {
-    if (!ledger.mayTryAgain()) {
+  for (const AttemptOutcome end : ends) {
+    if (!ledger.mayRetry()) {
       break;
     }
-    if (end != AttemptEnd::kNeverSent) {
+    if (end != AttemptOutcome::kNeverSent) {
       ledger.noteSent();
       ++truth.sent;
-      truth.runs_possible += end == AttemptEnd::kRefused ? 0 : 1;
+      truth.runs_possible += end == AttemptOutcome::kRefused ? 0 : 1;
     }
-    ledger.noteEnd(end);
+    ledger.noteOutcome(end);
   }
   return truth;
 }
 
-rc::Gen<std::vector<AttemptEnd>> anyEnds() {
-  return rc::gen::container<std::vector<AttemptEnd>>(rc::gen::element(
-      AttemptEnd::kNeverSent, AttemptEnd::kRefused, AttemptEnd::kUnknown, AttemptEnd::kFailed));
+rc::Gen<std::vector<AttemptOutcome>> anyEnds() {
+  return rc::gen::container<std::vector<AttemptOutcome>>(
+      rc::gen::element(AttemptOutcome::kNeverSent, AttemptOutcome::kRefused, AttemptOutcome::kUnknown,
+                       AttemptOutcome::kFailed));
 }
 
 TEST_CASE("a request that may run once is never sent again after it may have run") {
@@ -65,10 +66,10 @@
 TEST_CASE("attempts end, whatever the servers say") {
   CHECK(rc::check([] {
     AttemptLedger ledger(true, *rc::gen::inRange(1U, 5U));
-    const auto ends = *rc::gen::container<std::vector<AttemptEnd>>(
-        64, rc::gen::element(AttemptEnd::kNeverSent, AttemptEnd::kRefused));
+    const auto ends = *rc::gen::container<std::vector<AttemptOutcome>>(
+        64, rc::gen::element(AttemptOutcome::kNeverSent, AttemptOutcome::kRefused));
     play(ledger, ends);
-    RC_ASSERT(!ledger.mayTryAgain());
+    RC_ASSERT(!ledger.mayRetry());
   }));
 }
 
@@ -78,7 +79,7 @@
   ledger.noteSent();
   CHECK(ledger.execution() == Execution::kUnknown);
   CHECK(ledger.finalStatus(true) == 504);
-  ledger.noteEnd(AttemptEnd::kRefused);
+  ledger.noteOutcome(AttemptOutcome::kRefused);
   CHECK(ledger.execution() == Execution::kNotRun);
   CHECK(ledger.finalStatus(true) == kUnavailable);
 }
--- a/tests/forwarding/crash_register_site_test.cc
+++ b/tests/forwarding/crash_register_site_test.cc
@@ -49,7 +49,7 @@
       gateway.crashes = std::make_unique<CrashRegister>(now_);
     }
     for (Server& server : servers_) {
-      server.life = ++last_life_;
+      server.incarnation = ++last_life_;
     }
   }
 
@@ -90,7 +90,7 @@
     absl::Time wait_ends = absl::InfiniteFuture();
   };
   struct Server {
-    uint64_t life = 0;
+    uint64_t incarnation = 0;
     absl::Time up = absl::InfinitePast();
     std::vector<Run> runs;
   };
@@ -101,9 +101,9 @@
   };
   struct Letter {
     size_t to = 0;
-    std::vector<ServerEnd> ends;
+    std::vector<ServerCrash> ends;
     std::vector<RequestIdentity> sound;
-    std::vector<BlamedRequest> blamed;
+    std::vector<QuarantinedRequest> blamed;
   };
 
   double uniform(double from, double to) { return std::uniform_real_distribution<double>(from, to)(random_); }
@@ -154,7 +154,7 @@
     }
     gateway.has_read_record = true;
     for (const RequestIdentity& identity : record_) {
-      gateway.crashes->noteBlamed({identity, true}, now_);
+      gateway.crashes->noteQuarantined({identity, true}, now_);
     }
   }
 
@@ -216,7 +216,7 @@
       const auto due = std::find_if(server.runs.begin(), server.runs.end(),
                                     [this](const Run& run) { return run.is_deadly && run.ends <= now_; });
       if (due != server.runs.end()) {
-        noteEndedBy(due->identity, server.life);
+        noteEndedBy(due->identity, server.incarnation);
         crash(server);
         continue;
       }
@@ -240,9 +240,9 @@
     }
   }
 
-  void noteEndedBy(const RequestIdentity& identity, uint64_t life) {
+  void noteEndedBy(const RequestIdentity& identity, uint64_t incarnation) {
     Deadly& deadly = deadly_[identity];
-    deadly.ended.insert(life);
+    deadly.ended.insert(incarnation);
     if (deadly.ended.size() == kEndsAllowed && deadly.third == absl::InfiniteFuture()) {
       deadly.third = now_;
     }
@@ -250,9 +250,9 @@
 
   // All that runs there is cut; each gateway tells what it had there, and callers come back.
   void crash(Server& server) {
-    std::map<size_t, std::vector<RequestIdentity>> there;
+    std::map<size_t, std::vector<RequestIdentity>> in_flight;
     for (const Run& run : server.runs) {
-      there[run.gateway].push_back(run.identity);
+      in_flight[run.gateway].push_back(run.identity);
       gateways_[run.gateway].crashes->noteOver(run.identity);
       if (run.sends_left > 1) {
         Run again = run;
@@ -261,13 +261,13 @@
         later_.emplace(now_ + absl::Milliseconds(uniform(2, 300)), again);
       }
     }
-    for (const auto& [gateway, requests] : there) {
-      const ServerEnd end{server.life, kService, requests};
+    for (const auto& [gateway, requests] : in_flight) {
+      const ServerCrash end{server.incarnation, kService, requests};
       takeEnd(gateway, end);
       tellAll(gateway, {0, {end}, {}, {}});
     }
     server.runs.clear();
-    server.life = ++last_life_;
+    server.incarnation = ++last_life_;
     server.up = now_ + absl::Milliseconds(uniform(1000, 4000));
   }
 
@@ -285,9 +285,9 @@
     }
   }
 
-  void takeEnd(size_t gateway, const ServerEnd& end) {
-    object(gateway, end.there);
-    gateways_[gateway].crashes->noteEnd(end, now_);
+  void takeEnd(size_t gateway, const ServerCrash& end) {
+    object(gateway, end.in_flight);
+    gateways_[gateway].crashes->noteCrash(end, now_);
   }
 
   void object(size_t gateway, const std::vector<RequestIdentity>& charged) {
@@ -321,12 +321,12 @@
       for (const RequestIdentity& identity : letter.sound) {
         crashes.noteServed(identity, now_);
       }
-      for (const ServerEnd& end : letter.ends) {
+      for (const ServerCrash& end : letter.ends) {
         takeEnd(letter.to, end);
       }
-      for (const BlamedRequest& blamed : letter.blamed) {
+      for (const QuarantinedRequest& blamed : letter.blamed) {
         object(letter.to, {blamed.identity});
-        crashes.noteBlamed(blamed, now_);
+        crashes.noteQuarantined(blamed, now_);
       }
     }
   }
@@ -337,8 +337,8 @@
         continue;
       }
       gateway.gossip = now_;
-      const std::vector<BlamedRequest> blamed = gateway.crashes->blamed(50);
-      const std::vector<ServerEnd> open = gateway.crashes->openEnds(16, now_);
+      const std::vector<QuarantinedRequest> blamed = gateway.crashes->blamed(50);
+      const std::vector<ServerCrash> open = gateway.crashes->unresolvedCrashes(16, now_);
       for (size_t count = 0; count < kGossipTo; ++count) {
         const size_t to = draw(gateways_.size());
         if (!blamed.empty() || !open.empty()) {
--- a/tests/forwarding/crash_register_test.cc
+++ b/tests/forwarding/crash_register_test.cc
@@ -19,10 +19,10 @@
   uint64_t last_life = 0;
 
   // Returns what is to blame once all had time to object.
-  std::vector<RequestIdentity> end(std::vector<RequestIdentity> there, uint64_t service = kService) {
+  std::vector<RequestIdentity> end(std::vector<RequestIdentity> in_flight, uint64_t service = kService) {
     now += absl::Seconds(1);
-    crashes.noteEnd({++last_life, service, std::move(there)}, now);
-    now += CrashRegister::kObjectionTime;
+    crashes.noteCrash({++last_life, service, std::move(in_flight)}, now);
+    now += CrashRegister::kEvidenceDelay;
     return crashes.settle(now);
   }
   CrashVerdict verdict(const RequestIdentity& identity) { return crashes.verdictOn(identity, now); }
@@ -35,9 +35,9 @@
   CHECK(end({kDeadly, request(10)}).empty());
   CHECK(end({kDeadly, request(11)}).empty());
   CHECK(verdict(kDeadly) == CrashVerdict::kSend);
-  CHECK(crashes.noteEnd({++last_life, kService, {kDeadly, request(12)}}, now));
+  CHECK(crashes.noteCrash({++last_life, kService, {kDeadly, request(12)}}, now));
   CHECK(verdict(kDeadly) == CrashVerdict::kWait);
-  now += CrashRegister::kObjectionTime;
+  now += CrashRegister::kEvidenceDelay;
   CHECK(crashes.settle(now) == std::vector{kDeadly});
   CHECK(verdict(kDeadly) == CrashVerdict::kReject);
   CHECK(verdict(request(12)) == CrashVerdict::kSend);
@@ -72,7 +72,7 @@
 TEST_CASE_METHOD(Fixture, "three ends at once are not enough, for part of a service may have fallen") {
   for (int count = 0; count < 3; ++count) {
     now += absl::Milliseconds(100);
-    CHECK_FALSE(crashes.noteEnd({++last_life, kService, {kDeadly}}, now));
+    CHECK_FALSE(crashes.noteCrash({++last_life, kService, {kDeadly}}, now));
   }
   CHECK(end({kDeadly}) == std::vector{kDeadly});
 }
@@ -121,64 +121,64 @@
   CHECK(verdict(kBeside) == CrashVerdict::kReject);
   CHECK(crashes.noteServed(kBeside, now));
   CHECK(verdict(kBeside) == CrashVerdict::kSend);
-  CHECK(crashes.endsUnder(kBeside) == 0);
-  CHECK_FALSE(crashes.noteBlamed({kBeside}, now));
+  CHECK(crashes.crashCount(kBeside) == 0);
+  CHECK_FALSE(crashes.noteQuarantined({kBeside}, now));
 }
 
 TEST_CASE_METHOD(Fixture,
                  "one end counts once, whoever tells of it, and a later one of the same name again") {
-  const ServerEnd told{1, kService, {kDeadly}};
+  const ServerCrash told{1, kService, {kDeadly}};
   for (int teller = 0; teller < 5; ++teller) {
     now += absl::Milliseconds(30);
-    CHECK_FALSE(crashes.noteEnd(told, now));
+    CHECK_FALSE(crashes.noteCrash(told, now));
   }
-  CHECK(crashes.endsUnder(kDeadly) == 1);
+  CHECK(crashes.crashCount(kDeadly) == 1);
   now += absl::Seconds(2);
-  crashes.noteEnd(told, now);
-  CHECK(crashes.endsUnder(kDeadly) == 2);
+  crashes.noteCrash(told, now);
+  CHECK(crashes.crashCount(kDeadly) == 2);
 }
 
 TEST_CASE_METHOD(Fixture, "an end that is told again is the same end, however late") {
-  const ServerEnd told{1, kService, {kDeadly}};
-  crashes.noteEnd(told, now);
+  const ServerCrash told{1, kService, {kDeadly}};
+  crashes.noteCrash(told, now);
   for (int second = 1; second < 10; ++second) {
-    ServerEnd again = told;
+    ServerCrash again = told;
     again.ago = absl::Seconds(second) + absl::Milliseconds(100);
-    crashes.noteEnd(again, now + absl::Seconds(second));
+    crashes.noteCrash(again, now + absl::Seconds(second));
   }
-  CHECK(crashes.endsUnder(kDeadly) == 1);
+  CHECK(crashes.crashCount(kDeadly) == 1);
 }
 
 TEST_CASE_METHOD(Fixture, "a gateway that starts counts on from the ends that others tell again") {
   end({kDeadly, request(10)});
   end({kDeadly, request(11)});
-  const std::vector<ServerEnd> open = crashes.openEnds(10, now);
+  const std::vector<ServerCrash> open = crashes.unresolvedCrashes(10, now);
   REQUIRE(open.size() == 2);
-  CHECK(open[0].there == std::vector{kDeadly});
+  CHECK(open[0].in_flight == std::vector{kDeadly});
   CrashRegister other(now);
-  for (const ServerEnd& told : open) {
-    other.noteEnd(told, now);
+  for (const ServerCrash& told : open) {
+    other.noteCrash(told, now);
   }
-  CHECK(other.endsUnder(kDeadly) == 2);
-  CHECK(crashes.openEnds(1, now).empty());
-  CHECK(crashes.openEnds(10, now + absl::Minutes(2)).empty());
+  CHECK(other.crashCount(kDeadly) == 2);
+  CHECK(crashes.unresolvedCrashes(1, now).empty());
+  CHECK(crashes.unresolvedCrashes(10, now + absl::Minutes(2)).empty());
 }
 
 TEST_CASE_METHOD(Fixture, "evidence of several gateways about one end adds up to all who were there") {
-  CHECK_FALSE(crashes.noteEnd({1, kService, {kDeadly}}, now));
-  CHECK_FALSE(crashes.noteEnd({1, kService, {kBeside}}, now));
-  CHECK(crashes.endsUnder(kDeadly) == 1);
-  CHECK(crashes.endsUnder(kBeside) == 1);
+  CHECK_FALSE(crashes.noteCrash({1, kService, {kDeadly}}, now));
+  CHECK_FALSE(crashes.noteCrash({1, kService, {kBeside}}, now));
+  CHECK(crashes.crashCount(kDeadly) == 1);
+  CHECK(crashes.crashCount(kBeside) == 1);
 }
 
 TEST_CASE_METHOD(Fixture, "who else was at the last end is heard before anybody is blamed") {
   end({kDeadly, kBeside});
   end({kDeadly, kBeside});
   now += absl::Seconds(1);
-  CHECK(crashes.noteEnd({++last_life, kService, {kBeside}}, now));
+  CHECK(crashes.noteCrash({++last_life, kService, {kBeside}}, now));
   CHECK(verdict(kBeside) == CrashVerdict::kWait);
-  crashes.noteEnd({last_life, kService, {kDeadly}}, now + absl::Milliseconds(60));
-  now += CrashRegister::kObjectionTime;
+  crashes.noteCrash({last_life, kService, {kDeadly}}, now + absl::Milliseconds(60));
+  now += CrashRegister::kEvidenceDelay;
   CHECK(crashes.settle(now).empty());
   CHECK(verdict(kBeside) == CrashVerdict::kSend);
 }
@@ -194,15 +194,15 @@
   crashes.noteOver(kBeside);
   CHECK(verdict(kDeadly) == CrashVerdict::kSend);
   crashes.noteSent(kBeside, now);
-  now += CrashRegister::kApartAtMost;
+  now += CrashRegister::kMaxIsolationTime;
   CHECK(verdict(kDeadly) == CrashVerdict::kSend);
 }
 
 TEST_CASE_METHOD(Fixture, "what is told to be to blame is rejected, but for what was served here") {
-  CHECK(crashes.noteBlamed({kDeadly}, now));
-  CHECK_FALSE(crashes.noteBlamed({kDeadly}, now));
+  CHECK(crashes.noteQuarantined({kDeadly}, now));
+  CHECK_FALSE(crashes.noteQuarantined({kDeadly}, now));
   CHECK(verdict(kDeadly) == CrashVerdict::kReject);
-  CHECK(crashes.blamed(10) == std::vector{BlamedRequest{kDeadly, false}});
+  CHECK(crashes.blamed(10) == std::vector{QuarantinedRequest{kDeadly, false}});
 }
 
 TEST_CASE_METHOD(Fixture, "a request that is to blame is tried once more, and is free once it was served") {
@@ -211,7 +211,7 @@
   }
   CHECK(verdict(kBeside) == CrashVerdict::kReject);
   CHECK_FALSE(crashes.isTrialDue(kBeside, now));
-  now += CrashRegister::kTrialAfter;
+  now += CrashRegister::kTrialDelay;
   REQUIRE(crashes.isTrialDue(kBeside, now));
   crashes.takeTrial(kBeside, now);
   CHECK_FALSE(crashes.isTrialDue(kBeside, now));
@@ -234,44 +234,44 @@
 }
 
 TEST_CASE_METHOD(Fixture, "what another gateway has tried once more is not tried here") {
-  crashes.noteBlamed({kDeadly, false}, now);
-  now += CrashRegister::kTrialAfter;
+  crashes.noteQuarantined({kDeadly, false}, now);
+  now += CrashRegister::kTrialDelay;
   CHECK(crashes.isTrialDue(kDeadly, now));
-  crashes.noteBlamed({kDeadly, true}, now);
+  crashes.noteQuarantined({kDeadly, true}, now);
   CHECK_FALSE(crashes.isTrialDue(kDeadly, now));
 }
 
 TEST_CASE_METHOD(Fixture, "what callers send fills neither the ends nor the blamed without bound") {
   for (uint64_t count = 0; count < 3000; ++count) {
-    std::vector<RequestIdentity> there;
+    std::vector<RequestIdentity> in_flight;
     for (uint64_t index = 0; index < 10; ++index) {
-      there.push_back(request(1'000 + count * 10 + index));
+      in_flight.push_back(request(1'000 + count * 10 + index));
     }
-    end(std::move(there));
-    crashes.noteBlamed({request(1'000'000 + count)}, now);
+    end(std::move(in_flight));
+    crashes.noteQuarantined({request(1'000'000 + count)}, now);
   }
   CHECK(crashes.suspectCount() <= 4096);
-  CHECK(crashes.blamedCount() <= 1024);
-  CHECK(crashes.blamed(1) == std::vector{BlamedRequest{request(1'002'999), false}});
+  CHECK(crashes.quarantinedCount() <= 1024);
+  CHECK(crashes.blamed(1) == std::vector{QuarantinedRequest{request(1'002'999), false}});
   // The newest evidence still counts.
   end({kDeadly});
   end({kDeadly});
-  CHECK(crashes.endsUnder(kDeadly) == 2);
+  CHECK(crashes.crashCount(kDeadly) == 2);
 }
 
 TEST_CASE_METHOD(Fixture, "ends are forgotten after an hour, blame a day after the request came last") {
   end({kDeadly});
   now += absl::Minutes(61);
-  crashes.forgetOld(now);
+  crashes.dropExpired(now);
   CHECK_FALSE(crashes.isSuspect(kDeadly));
-  crashes.noteBlamed({kDeadly}, now);
+  crashes.noteQuarantined({kDeadly}, now);
   for (int hours = 0; hours < 72; hours += 12) {
     now += absl::Hours(12);
-    crashes.forgetOld(now);
+    crashes.dropExpired(now);
     CHECK(crashes.verdictOn(kDeadly, now) == CrashVerdict::kReject);
   }
   now += absl::Hours(25);
-  crashes.forgetOld(now);
+  crashes.dropExpired(now);
   CHECK(crashes.verdictOn(kDeadly, now) == CrashVerdict::kSend);
 }
 
--- a/tests/forwarding/engine_capability_test.cc
+++ b/tests/forwarding/engine_capability_test.cc
@@ -6,7 +6,7 @@
 #include <catch2/catch.hpp>
 
 #include "forwarding/engine_placement.h"
-#include "forwarding/occupancy_books.h"
+#include "forwarding/occupancy_tracker.h"
 
 namespace quincewick::forwarding {
 namespace {
@@ -19,7 +19,7 @@
                    absl::Time now) {
   const absl::Time end = now + length;
   for (; now < end; now += absl::Milliseconds(250)) {
-    estimator.noteRead(3000, per_token * 3000, now);
+    estimator.notePrefillDone(3000, per_token * 3000, now);
   }
   return now;
 }
@@ -34,12 +34,12 @@
 
 TEST_CASE("one reading decides nothing, and a slow moment is over within some seconds") {
   CapabilityEstimator estimator;
-  absl::Time now = readFor(estimator, absl::Seconds(5), kUnknownReadPerToken, kNow);
-  estimator.noteRead(3000, kSlow * 3000, now);
-  CHECK(estimator.at(now).read_per_token < kUnknownReadPerToken * 1.1);
+  absl::Time now = readFor(estimator, absl::Seconds(5), kDefaultReadPerToken, kNow);
+  estimator.notePrefillDone(3000, kSlow * 3000, now);
+  CHECK(estimator.at(now).read_per_token < kDefaultReadPerToken * 1.1);
   now = readFor(estimator, absl::Seconds(1), kSlow, now);
-  now = readFor(estimator, absl::Seconds(8), kUnknownReadPerToken, now);
-  CHECK(estimator.at(now).read_per_token < kUnknownReadPerToken * 1.1);
+  now = readFor(estimator, absl::Seconds(8), kDefaultReadPerToken, now);
+  CHECK(estimator.at(now).read_per_token < kDefaultReadPerToken * 1.1);
 }
 
 TEST_CASE("what is not seen for long is not known, so that an engine that was shunned is tried again") {
@@ -48,11 +48,11 @@
     estimator.notePause(absl::Milliseconds(500), kNow);
   }
   const absl::Duration allowed = absl::Milliseconds(300);
-  CHECK(estimator.at(kNow).chanceOfPauseOver(allowed) > 0.9);
-  CHECK(estimator.at(kNow + absl::Seconds(30)).chanceOfPauseOver(allowed) < 0.1);
-  const ToldCapability told = {estimator.at(kNow), kNow};
-  CHECK(told.at(kNow + absl::Seconds(2)).chanceOfPauseOver(allowed) > 0.9);
-  CHECK(told.at(kNow + absl::Seconds(20)).chanceOfPauseOver(allowed) < 0.1);
+  CHECK(estimator.at(kNow).probabilityOfPauseOver(allowed) > 0.9);
+  CHECK(estimator.at(kNow + absl::Seconds(30)).probabilityOfPauseOver(allowed) < 0.1);
+  const ReportedCapability told = {estimator.at(kNow), kNow};
+  CHECK(told.at(kNow + absl::Seconds(2)).probabilityOfPauseOver(allowed) > 0.9);
+  CHECK(told.at(kNow + absl::Seconds(20)).probabilityOfPauseOver(allowed) < 0.1);
 }
 
 TEST_CASE("the chance of a pause too long is that of the streams that had one") {
@@ -61,9 +61,9 @@
     estimator.notePause(absl::Milliseconds(stream % 2 == 0 ? 100 : 300), kNow);
   }
   const EngineCapability capability = estimator.at(kNow);
-  CHECK(capability.chanceOfPauseOver(absl::Milliseconds(200)) == Approx(0.5).margin(0.05));
-  CHECK(capability.chanceOfPauseOver(absl::Milliseconds(600)) < 0.02);
-  CHECK(EngineCapability().chanceOfPauseOver(absl::Milliseconds(1)) == 0);
+  CHECK(capability.probabilityOfPauseOver(absl::Milliseconds(200)) == Approx(0.5).margin(0.05));
+  CHECK(capability.probabilityOfPauseOver(absl::Milliseconds(600)) < 0.02);
+  CHECK(EngineCapability().probabilityOfPauseOver(absl::Milliseconds(1)) == 0);
 }
 
 TEST_CASE("whatever is read and paused, what is told stays within what engines can be") {
@@ -72,14 +72,14 @@
     absl::Time now = kNow;
     for (int step = 0; step < 40; ++step) {
       now += absl::Milliseconds(*rc::gen::inRange(0, 3000));
-      estimator.noteRead(*rc::gen::inRange<uint64_t>(1, 1'000'000),
-                         absl::Milliseconds(*rc::gen::inRange(0, 100'000)), now);
+      estimator.notePrefillDone(*rc::gen::inRange<uint64_t>(1, 1'000'000),
+                                absl::Milliseconds(*rc::gen::inRange(0, 100'000)), now);
       estimator.notePause(absl::Milliseconds(*rc::gen::inRange(0, 100'000)), now);
       const EngineCapability told = estimator.at(now);
-      RC_ASSERT(told.read_per_token >= kUnknownReadPerToken / 20);
-      RC_ASSERT(told.read_per_token <= kUnknownReadPerToken * 20);
+      RC_ASSERT(told.read_per_token >= kDefaultReadPerToken / 20);
+      RC_ASSERT(told.read_per_token <= kDefaultReadPerToken * 20);
       RC_ASSERT(told.pause >= absl::ZeroDuration());
-      const double chance = told.chanceOfPauseOver(absl::Milliseconds(300));
+      const double chance = told.probabilityOfPauseOver(absl::Milliseconds(300));
       RC_ASSERT(chance >= 0.0);
       RC_ASSERT(chance <= 1.0);
     }
@@ -87,19 +87,19 @@
 }
 
 TEST_CASE("the books learn an engine's speed from places, and not from those that waited for a slot") {
-  OccupancyBooks books;
+  OccupancyTracker books;
   absl::Time now = kNow;
   const auto serve = [&](uint64_t number, bool waits_for_slot, absl::Duration took) {
-    const OccupancyBooks::Name name = {7, NodeId("g"), number};
+    const OccupancyTracker::ReservationId name = {7, NodeId("g"), number};
     books.reserve(name, 3000, waits_for_slot, now);
     now += took;
-    books.noteRead(name, now);
+    books.notePrefillDone(name, now);
     books.release(name, absl::Milliseconds(400), now);
   };
   for (uint64_t number = 0; number < 10; ++number) {
     serve(number, true, absl::Seconds(1));
   }
-  CHECK(books.capability(7, now).read_per_token == kUnknownReadPerToken);
+  CHECK(books.capability(7, now).read_per_token == kDefaultReadPerToken);
   for (uint64_t number = 10; number < 30; ++number) {
     serve(number, false, kSlow * 3000);
   }
@@ -108,36 +108,36 @@
 }
 
 TEST_CASE("an engine that went silent is known by what is overdue, for the place that is asked for now") {
-  OccupancyBooks books;
+  OccupancyTracker books;
   books.reserve({7, NodeId("g"), 1}, 3000, false, kNow);
   const auto overdue = [&](absl::Time now) {
     return books.withOverdue(7, books.capability(7, now), now).read_per_token;
   };
   // As long as it may be reading, nothing is said.
-  CHECK(overdue(kNow + absl::Milliseconds(78)) == kUnknownReadPerToken);
+  CHECK(overdue(kNow + absl::Milliseconds(78)) == kDefaultReadPerToken);
   // A second later a prompt before it counts as eight times its time: other engines go first.
-  CHECK(overdue(kNow + absl::Seconds(1)) > kUnknownReadPerToken * 7);
-  CHECK(books.capability(7, kNow + absl::Seconds(1)).read_per_token == kUnknownReadPerToken);
+  CHECK(overdue(kNow + absl::Seconds(1)) > kDefaultReadPerToken * 7);
+  CHECK(books.capability(7, kNow + absl::Seconds(1)).read_per_token == kDefaultReadPerToken);
 }
 
 TEST_CASE("a lost message about a reading makes no engine slow") {
-  OccupancyBooks books;
+  OccupancyTracker books;
   books.reserve({7, NodeId("lost"), 1}, 3000, false, kNow);
   books.reserve({7, NodeId("g"), 2}, 3000, false, kNow + absl::Milliseconds(10));
-  books.noteRead({7, NodeId("g"), 2}, kNow + absl::Milliseconds(160));
+  books.notePrefillDone({7, NodeId("g"), 2}, kNow + absl::Milliseconds(160));
   const absl::Time now = kNow + absl::Seconds(2);
   CHECK(books.withOverdue(7, books.capability(7, now), now) == books.capability(7, now));
 }
 
 TEST_CASE("the next keeper begins with what the last one told") {
-  OccupancyBooks books;
+  OccupancyTracker books;
   EngineCapability told;
   told.read_per_token = kSlow;
   told.pause = absl::Milliseconds(400);
   told.pause_deviation = absl::Milliseconds(50);
   books.begin(7, told, kNow);
   CHECK(books.capability(7, kNow).pause == absl::Milliseconds(400));
-  CHECK(books.capability(7, kNow).read_per_token > kUnknownReadPerToken * 1.4);
+  CHECK(books.capability(7, kNow).read_per_token > kDefaultReadPerToken * 1.4);
   books.begin(7, EngineCapability(), kNow);
   CHECK(books.capability(7, kNow).pause == absl::Milliseconds(400));
 }
@@ -177,7 +177,7 @@
       request.model = ModelName("m");
       request.prompt = {{"trunk", 120}, {"s" + std::to_string(++sessions), 80}, {"own", 600}};
       request.allowed_pause = absl::Milliseconds(300);
-      request.allowed_first = absl::Milliseconds(400);
+      request.allowed_first_piece = absl::Milliseconds(400);
       request.output_tokens = output_tokens;
       const auto choice = placement.choose(request, directory.ofService(ServiceName("engines")), directory,
                                            {}, {}, WeightsVersion(), now);
--- a/tests/forwarding/engine_placement_test.cc
+++ b/tests/forwarding/engine_placement_test.cc
@@ -57,7 +57,7 @@
   Fixture fixture;
   const auto first = fixture.choose("s1");
   REQUIRE(first);
-  fixture.placement.noteKept(first->server->slot, first->shared_keys, kNow);
+  fixture.placement.noteCached(first->server->slot, first->shared_keys, kNow);
   const auto second = fixture.choose("s1");
   REQUIRE(second);
   CHECK(second->server == first->server);
@@ -77,11 +77,11 @@
 TEST_CASE("kept parts are fetched when their engine can't be used") {
   Fixture fixture;
   const auto first = fixture.choose("s1");
-  fixture.placement.noteKept(first->server->slot, first->shared_keys, kNow);
+  fixture.placement.noteCached(first->server->slot, first->shared_keys, kNow);
   const auto second = fixture.choose("s1", {first->server->identity_hash});
   REQUIRE(second);
   CHECK(second->server != first->server);
-  CHECK(second->memory_source == fixture.stores[0].address);
+  CHECK(second->cache_source == fixture.stores[0].address);
   CHECK(second->fetched_tokens == 6200);
 }
 
@@ -90,11 +90,11 @@
 TEST_CASE("the cache store is the source before any engine, and gets what nobody is believed to keep") {
   Fixture fixture;
   const auto first = fixture.choose("s1");
-  CHECK(first->memory_source == fixture.stores[0].address);
-  CHECK(first->memory_target == fixture.stores[0].address);
-  fixture.placement.noteKept(first->server->slot, first->shared_keys, kNow);
+  CHECK(first->cache_source == fixture.stores[0].address);
+  CHECK(first->cache_target == fixture.stores[0].address);
+  fixture.placement.noteCached(first->server->slot, first->shared_keys, kNow);
   const auto second = fixture.choose("s1");
-  CHECK(second->memory_source == fixture.stores[0].address);
+  CHECK(second->cache_source == fixture.stores[0].address);
 }
 
 // Finding F17: an engine sends its target all that it reads; the own parts of requests whose shared ones were
@@ -103,16 +103,16 @@
   const auto targets = [](const PlacementSwitches& switches) {
     Fixture fixture(6, switches);
     const auto first = fixture.choose("s1");
-    fixture.placement.noteKept(first->server->slot, first->shared_keys, kNow);
+    fixture.placement.noteCached(first->server->slot, first->shared_keys, kNow);
     const auto at_the_same = fixture.choose("s1");
     const auto elsewhere = fixture.choose("s1", {first->server->identity_hash});
     const auto another = fixture.choose("s2");
-    return std::vector<bool>{at_the_same->memory_target.has_value(), elsewhere->memory_target.has_value(),
-                             another->memory_target.has_value()};
+    return std::vector<bool>{at_the_same->cache_target.has_value(), elsewhere->cache_target.has_value(),
+                             another->cache_target.has_value()};
   };
   CHECK(targets({}) == std::vector<bool>{false, false, true});
   PlacementSwitches all_read;
-  all_read.store_only_unkept = false;
+  all_read.store_only_uncached = false;
   CHECK(targets(all_read) == std::vector<bool>{true, true, true});
 }
 
@@ -122,7 +122,7 @@
   const auto stays = [](uint64_t queued_tokens, const PlacementSwitches& switches) {
     Fixture fixture(6, switches);
     const auto first = fixture.choose("s1");
-    fixture.placement.noteKept(first->server->slot, first->shared_keys, kNow);
+    fixture.placement.noteCached(first->server->slot, first->shared_keys, kNow);
     first->server->own.prefill_tokens = queued_tokens;
     return fixture.choose("s1")->server == first->server;
   };
@@ -137,11 +137,11 @@
   Fixture fixture;
   fixture.stores.clear();
   const auto first = fixture.choose("s1");
-  CHECK_FALSE(first->memory_source);
-  CHECK_FALSE(first->memory_target);
-  fixture.placement.noteKept(first->server->slot, first->shared_keys, kNow);
+  CHECK_FALSE(first->cache_source);
+  CHECK_FALSE(first->cache_target);
+  fixture.placement.noteCached(first->server->slot, first->shared_keys, kNow);
   const auto second = fixture.choose("s1", {first->server->identity_hash});
-  CHECK(second->memory_source == first->server->entry.address);
+  CHECK(second->cache_source == first->server->entry.address);
 }
 
 TEST_CASE("chains spread over the stores, each has its own") {
@@ -151,10 +151,10 @@
   std::map<std::string, int> chains;
   for (int session = 0; session < 90; ++session) {
     const auto choice = fixture.choose("s" + std::to_string(session));
-    REQUIRE(choice->memory_source);
-    CHECK(choice->memory_source == choice->memory_target);
-    ++chains[choice->memory_source->host];
-    CHECK(fixture.choose("s" + std::to_string(session))->memory_source == choice->memory_source);
+    REQUIRE(choice->cache_source);
+    CHECK(choice->cache_source == choice->cache_target);
+    ++chains[choice->cache_source->host];
+    CHECK(fixture.choose("s" + std::to_string(session))->cache_source == choice->cache_source);
   }
   CHECK(chains.size() == 3);
   for (const auto& [host, count] : chains) {
@@ -165,7 +165,7 @@
 TEST_CASE("isolated tenants and versions of weights share nothing") {
   Fixture fixture;
   const auto open = fixture.choose("s1");
-  fixture.placement.noteKept(open->server->slot, open->shared_keys, kNow);
+  fixture.placement.noteCached(open->server->slot, open->shared_keys, kNow);
   const auto isolated = fixture.choose("s1", {}, "tenant");
   CHECK(isolated->salt != open->salt);
   CHECK(isolated->cached_tokens == 0);
@@ -188,11 +188,11 @@
 TEST_CASE("a full engine sheds its sessions to others, which fetch") {
   Fixture fixture;
   const auto first = fixture.choose("s1");
-  fixture.placement.noteKept(first->server->slot, first->shared_keys, kNow);
+  fixture.placement.noteCached(first->server->slot, first->shared_keys, kNow);
   first->server->peers.running = 200;
   const auto second = fixture.choose("s1");
   CHECK(second->server != first->server);
-  CHECK(second->memory_source == fixture.stores[0].address);
+  CHECK(second->cache_source == fixture.stores[0].address);
   CHECK(second->fetched_tokens == 6200);
 }
 
@@ -200,7 +200,7 @@
   Fixture site;
   const auto kept = site.choose("s");
   REQUIRE(kept);
-  site.placement.noteKept(kept->server->slot, kept->shared_keys, kNow);
+  site.placement.noteCached(kept->server->slot, kept->shared_keys, kNow);
   for (const auto& [id, server] : site.directory.all()) {
     if (server != kept->server) {
       ServerDirectory::noteVersion(*server, kModel, WeightsVersion(2));
--- a/tests/forwarding/occupancy_books_test.cc
+++ b/tests/forwarding/occupancy_tracker_test.cc
@@ -1,4 +1,4 @@
-#include "forwarding/occupancy_books.h"
+#include "forwarding/occupancy_tracker.h"
 
 #include <rapidcheck.h>
 
@@ -13,18 +13,18 @@
 
 TEST_CASE("what gateways reserved and didn't release is in hand, whatever is told twice or unasked") {
   CHECK(rc::check([] {
-    OccupancyBooks books;
+    OccupancyTracker books;
     std::map<uint64_t, uint64_t> reserved;  // number to tokens that are not read yet
     for (int step = 0; step < 60; ++step) {
       const uint64_t number = *rc::gen::inRange(0, 12);
-      const OccupancyBooks::Name name = {7, NodeId("g"), number};
+      const OccupancyTracker::ReservationId name = {7, NodeId("g"), number};
       switch (*rc::gen::inRange(0, 3)) {
         case 0:
           books.reserve(name, 100 + number, false, kNow);
           reserved.try_emplace(number, 100 + number);
           break;
         case 1:
-          books.noteRead(name, kNow);
+          books.notePrefillDone(name, kNow);
           if (reserved.contains(number)) {
             reserved[number] = 0;
           }
@@ -45,7 +45,7 @@
 }
 
 TEST_CASE("gateways' numbers are their own") {
-  OccupancyBooks books;
+  OccupancyTracker books;
   books.reserve({7, NodeId("a"), 1}, 10, false, kNow);
   books.reserve({7, NodeId("b"), 1}, 20, false, kNow);
   CHECK(books.at(7, kNow).running == 2);
@@ -54,7 +54,7 @@
 }
 
 TEST_CASE("what a dead gateway reserved lapses") {
-  OccupancyBooks books;
+  OccupancyTracker books;
   books.reserve({7, NodeId("dead"), 1}, 10, false, kNow);
   CHECK(books.at(7, kNow + absl::Seconds(14)).running == 1);
   CHECK(books.at(7, kNow + absl::Seconds(16)).running == 0);
@@ -62,11 +62,11 @@
 }
 
 TEST_CASE("books are complete once they were kept for as long as requests take") {
-  OccupancyBooks books;
-  CHECK_FALSE(books.areComplete(7, kNow));
+  OccupancyTracker books;
+  CHECK_FALSE(books.isFullyObserved(7, kNow));
   books.reserve({7, NodeId("a"), 1}, 10, false, kNow);
-  CHECK_FALSE(books.areComplete(7, kNow + absl::Seconds(3)));
-  CHECK(books.areComplete(7, kNow + absl::Seconds(4)));
+  CHECK_FALSE(books.isFullyObserved(7, kNow + absl::Seconds(3)));
+  CHECK(books.isFullyObserved(7, kNow + absl::Seconds(4)));
 }
 
 }  // namespace
--- a/tests/forwarding/retry_budget_test.cc
+++ b/tests/forwarding/retry_budget_test.cc
@@ -42,7 +42,7 @@
       } else if (what < 6) {
         budget.noteRequest(kService);
         requests.push_back(now);
-      } else if (budget.tryRepeat(kService)) {
+      } else if (budget.tryAcquireRetry(kService)) {
         repeats.push_back(now);
       }
     }
@@ -122,7 +122,7 @@
     RetryBudget& budget = nodes[home[caller]].budget;
     budget.noteRequest(kService);
     requests.push_back(now);
-    while (failures-- > 0 && budget.tryRepeat(kService)) {
+    while (failures-- > 0 && budget.tryAcquireRetry(kService)) {
       repeats.push_back(now);
     }
   }
@@ -205,7 +205,7 @@
 // Repeats that the node may send at once.
 int repeatsAtOnce(RetryBudget budget) {
   int repeats = 0;
-  while (budget.tryRepeat(kService)) {
+  while (budget.tryAcquireRetry(kService)) {
     ++repeats;
   }
   return repeats;
@@ -263,10 +263,10 @@
   budget.noteNodes(1);
   budget.noteRequest(kService);
   budget.noteRequest(ServiceName("other"));
-  CHECK(budget.tryRepeat(kService));
-  CHECK_FALSE(budget.tryRepeat(kService));
-  CHECK(budget.tryRepeat(ServiceName("other")));
-  CHECK(budget.fewestLeft() == 0);
+  CHECK(budget.tryAcquireRetry(kService));
+  CHECK_FALSE(budget.tryAcquireRetry(kService));
+  CHECK(budget.tryAcquireRetry(ServiceName("other")));
+  CHECK(budget.minimumLeft() == 0);
 }
 
 // Of 300 nodes each has a sixth of a repeat at most.
--- a/tests/forwarding/server_directory_test.cc
+++ b/tests/forwarding/server_directory_test.cc
@@ -168,7 +168,7 @@
   CHECK(server->back_pressure->timePerRequest() == absl::Milliseconds(250));
   server->back_pressure->noteRateUsedUp(absl::Milliseconds(300), kNow);
   CHECK_FALSE(server->takesWork(kNow + absl::Milliseconds(299)));
-  CHECK(firstFree(directory.ofService(kService), kNow) == kNow + absl::Milliseconds(300));
+  CHECK(firstAvailableAt(directory.ofService(kService), kNow) == kNow + absl::Milliseconds(300));
   CHECK(server->takesWork(kNow + absl::Milliseconds(300)));
   server->back_pressure->noteRateUsedUp(absl::Hours(1), kNow);
   CHECK(server->takesWork(kNow + absl::Seconds(1)));
@@ -179,14 +179,14 @@
 
 TEST_CASE("no time to return is told while a server is free or all have left") {
   ServerDirectory directory;
-  CHECK(firstFree(directory.ofService(kService), kNow) == absl::InfiniteFuture());
+  CHECK(firstAvailableAt(directory.ofService(kService), kNow) == absl::InfiniteFuture());
   directory.upsert(entry("a"));
   directory.upsert(entry("b"));
   directory.find("a")->back_pressure->noteRateLimit(4);
   directory.find("a")->back_pressure->noteRateUsedUp(absl::Milliseconds(300), kNow);
-  CHECK(firstFree(directory.ofService(kService), kNow) == absl::InfiniteFuture());
+  CHECK(firstAvailableAt(directory.ofService(kService), kNow) == absl::InfiniteFuture());
   directory.remove("b");
-  CHECK(firstFree(directory.ofService(kService), kNow) == kNow + absl::Milliseconds(300));
+  CHECK(firstAvailableAt(directory.ofService(kService), kNow) == kNow + absl::Milliseconds(300));
 }
 
 // While the store is away, an entry lapses and comes back as it was.
--- a/tests/forwarding/server_starts_test.cc
+++ b/tests/forwarding/server_starts_test.cc
@@ -9,7 +9,7 @@
 #include <random>
 
 #include "forwarding/engine_placement.h"
-#include "forwarding/occupancy_books.h"
+#include "forwarding/occupancy_tracker.h"
 #include "forwarding/server_choice.h"
 #include "forwarding/server_directory.h"
 
@@ -112,7 +112,7 @@
 
 TEST_CASE("places in the books of the earlier life are not in hand at the later one") {
   ServerDirectory directory;
-  OccupancyBooks books;
+  OccupancyTracker books;
   directory.upsert(entry(kFirstStart));
   books.reserve({directory.find("a")->identity_hash, NodeId("g"), 1}, 100, false, kNow);
   directory.upsert(entry(kSecondStart));
@@ -147,7 +147,7 @@
   };
   const auto first = choose();
   REQUIRE(first);
-  placement.noteKept(first->server->slot, first->shared_keys, kNow);
+  placement.noteCached(first->server->slot, first->shared_keys, kNow);
   ServerEntry again = first->server->entry;
   again.started = kSecondStart;
   directory.upsert(again);
--- a/tests/gateway/crash_message_test.cc
+++ b/tests/gateway/crash_message_test.cc
@@ -15,9 +15,9 @@
 
 CrashMessage fullMessage() {
   CrashMessage message;
-  forwarding::ServerEnd end{11, 12, {}, absl::Seconds(1)};
+  forwarding::ServerCrash end{11, 12, {}, absl::Seconds(1)};
   for (uint64_t number = 0; number < kCrashMessageRoom - 2; ++number) {
-    end.there.push_back(request(number));
+    end.in_flight.push_back(request(number));
   }
   message.ends.push_back(end);
   return message;
@@ -32,9 +32,9 @@
   const auto read = decodeCrashMessage(bytes);
   REQUIRE(read.has_value());
   REQUIRE(read.value().ends.size() == 1);
-  CHECK(read.value().ends[0].life == 1);
+  CHECK(read.value().ends[0].incarnation == 1);
   CHECK(read.value().ends[0].service == 2);
-  CHECK(read.value().ends[0].there == message.ends[0].there);
+  CHECK(read.value().ends[0].in_flight == message.ends[0].in_flight);
   CHECK(read.value().ends[0].ago == message.ends[0].ago);
   CHECK(read.value().sound == message.sound);
   CHECK(read.value().blamed == message.blamed);
--- a/tests/gateway/gateway_settings_test.cc
+++ b/tests/gateway/gateway_settings_test.cc
@@ -80,7 +80,7 @@
   const auto switched = parseGatewaySettings(needed + "placement:\n  home_by_size: false\n");
   REQUIRE(switched.ok());
   CHECK_FALSE(switched.value->placement.home_by_size);
-  CHECK(switched.value->placement.store_only_unkept);
+  CHECK(switched.value->placement.store_only_uncached);
   CHECK_FALSE(parseGatewaySettings(needed + "placement:\n  copies: false\n").ok());
 }
 
--- a/tests/platform_dialect/platform_dialect_test.cc
+++ b/tests/platform_dialect/platform_dialect_test.cc
@@ -81,7 +81,7 @@
   CHECK(dialect().readConfiguration("[]").has_error());
   CHECK(dialect().readConfiguration("{").has_error());
   CHECK(dialect().readServer("i", R"({"service":"x","address":"10.0.0.1"})").has_error());
-  CHECK(dialect().readRowsAnswer("{}").has_error());
+  CHECK(dialect().readRowsResponse("{}").has_error());
   CHECK(dialect().readReport("nonsense").has_error());
   CHECK(dialect().readNamedWeights(R"({"model":"m"})").has_error());
 }
@@ -169,7 +169,7 @@
                  {"Quincewick-Weight-Versions", "3, 4"},
                  {"Keep-Alive", "timeout=5, max=10"},
                  {"Quincewick-Not-Executed", "1"}};
-  const auto facts = dialect().readAnswer(head);
+  const auto facts = dialect().readResponse(head);
   CHECK(facts.is_other_server);
   CHECK(facts.is_not_run);
   CHECK_FALSE(facts.is_signed);
@@ -183,7 +183,7 @@
     HttpHead head;
     head.status = 200;
     head.fields = {{"server-limit", value}};
-    return dialect().readAnswer(head);
+    return dialect().readResponse(head);
   };
   CHECK(read("1.1").rate_limit == 1.1);
   CHECK(read("0").rate_limit == 0.0);
@@ -193,7 +193,7 @@
     CHECK_FALSE(read(malformed).rate_limit);
     CHECK(read(malformed).unreadable_fields == std::vector<std::string>{"server-limit"});
   }
-  CHECK_FALSE(dialect().readAnswer(HttpHead()).rate_limit);
+  CHECK_FALSE(dialect().readResponse(HttpHead()).rate_limit);
 }
 
 TEST_CASE("whether a server says that it leaves, and for how long it wants no request") {
@@ -201,19 +201,19 @@
     HttpHead head;
     head.status = status;
     head.fields = {{name, value}};
-    return dialect().readAnswer(head);
+    return dialect().readResponse(head);
   };
   CHECK(read(200, "server-leaving", "1").is_leaving);
   CHECK_FALSE(read(200, "server-leaving", "0").is_leaving);
   CHECK(read(200, "server-leaving", "0").unreadable_fields.empty());
   CHECK_FALSE(read(200, "server-leaving", "soon").is_leaving);
   CHECK(read(200, "server-leaving", "soon").unreadable_fields.size() == 1);
-  CHECK(read(503, "retry-after", "3").rest == absl::Seconds(3));
-  CHECK(read(503, "retry-after", "0.25").rest == absl::Milliseconds(250));
-  CHECK_FALSE(read(429, "retry-after", "3").rest);
+  CHECK(read(503, "retry-after", "3").back_off == absl::Seconds(3));
+  CHECK(read(503, "retry-after", "0.25").back_off == absl::Milliseconds(250));
+  CHECK_FALSE(read(429, "retry-after", "3").back_off);
   for (const char* malformed : {"", "-1", "inf", "Wed, 21 Oct 2026 07:28:00 GMT"}) {
     CAPTURE(malformed);
-    CHECK_FALSE(read(503, "retry-after", malformed).rest);
+    CHECK_FALSE(read(503, "retry-after", malformed).back_off);
     CHECK(read(503, "retry-after", malformed).unreadable_fields.size() == 1);
   }
 }
@@ -229,7 +229,7 @@
       absl::StrCat(R"({"rows":[{"table":"t","key":"k","value":")", absl::Base64Escape(row.value),
                    R"(","ver":6},{"table":"t","key":"g","gone":true,"ver":7}],)",
                    R"("more":false,"ver":9,"now_ms":51230})");
-  const auto rows = dialect().readRowsAnswer(answer);
+  const auto rows = dialect().readRowsResponse(answer);
   REQUIRE(rows.has_value());
   CHECK(rows.value().rows[0].value == row.value);
   CHECK(rows.value().rows[1].is_gone);
