--- a/src/forwarding/attempt_ledger.cc
+++ b/src/forwarding/attempt_ledger.cc
@@ -17,8 +17,8 @@
          status == kUnavailable;
 }
 
-void AttemptLedger::noteOutcome(AttemptOutcome end) {
-  switch (end) {
+void AttemptLedger::noteOutcome(AttemptOutcome outcome) {
+  switch (outcome) {
     case AttemptOutcome::kNeverSent:
       ++never_sent_;
       break;
@@ -39,15 +39,15 @@
     return false;
   }
   const uint32_t runs = unknown_ + failed_;
-  return runs == 0 || (may_run_again_ && runs < max_attempts_);
+  return runs == 0 || (is_repeatable_ && runs < max_attempts_);
 }
 
 Execution AttemptLedger::execution() const {
   if (failed_ > 0) {
     return Execution::kRan;
   }
-  const bool all_told = refused_ == sent_;
-  return all_told ? Execution::kNotRun : Execution::kUnknown;
+  const bool are_all_refused = refused_ == sent_;
+  return are_all_refused ? Execution::kNotRun : Execution::kUnknown;
 }
 
 int AttemptLedger::finalStatus(bool out_of_time) const {
--- a/src/forwarding/attempt_ledger.h
+++ b/src/forwarding/attempt_ledger.h
@@ -1,7 +1,7 @@
-// What is known of one request's runs, and so what may still be done with it: send it to a further server,
-// pass an answer on, or give it up, and whether the caller may then be told that it did not run.
+// The outcomes of one request's attempts, and what they allow: another attempt, passing on a response, or
+// giving up, and whether the caller may then be told that the request did not run.
 //
-// Each reply of a server says whether a repeat is safe; this keeps their sum. Pure.
+// Each response of a server says whether a retry is safe; this class combines them. Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -11,42 +11,42 @@
 
 namespace quincewick::forwarding {
 
-// How one attempt ended that gave no answer to pass on.
+// Outcome of an attempt that gave no response to pass on.
 enum class AttemptOutcome : uint8_t {
-  kNeverSent,  // no byte of the request left
+  kNeverSent,  // no byte of the request was sent
   kRefused,    // the server says that it did not run it
-  kUnknown,    // sent, and the connection or the answer failed: it may have run
+  kUnknown,    // sent, but the connection or the response failed: it may have run
   kFailed,     // the server ran it and says that it failed
 };
 
-// Whether an answer's status promises that the request has not run and never will.
+// Whether a response with this status promises that the request has not run and never will.
 bool promisesNotRun(int status);
 
 class AttemptLedger {
  public:
   AttemptLedger() = default;
-  AttemptLedger(bool may_run_again, uint32_t max_attempts)
-      : may_run_again_(may_run_again), max_attempts_(max_attempts) {}
+  AttemptLedger(bool is_repeatable, uint32_t max_attempts)
+      : is_repeatable_(is_repeatable), max_attempts_(max_attempts) {}
 
-  // A byte of the request may leave for a server from now on.
+  // From now on a byte of the request may reach a server.
   void noteSent() { ++sent_; }
-  void noteOutcome(AttemptOutcome end);
+  void noteOutcome(AttemptOutcome outcome);
 
-  // Whether a further server may be asked, as far as the request itself allows; the budget is another matter.
+  // Whether the request's own limits allow another attempt. The retry budget is checked separately.
   bool mayRetry() const;
-  // Whether the next attempt counts as a repeat for the servers.
+  // Whether the next attempt is a retry as servers see it.
   bool isNextRetry() const { return sent_ > 0; }
-  // Of the whole request, once its attempts have ended.
+  // Whether the request ran, over all attempts so far.
   Execution execution() const;
-  // The status of a final answer of our own: 503 promises that the request has not run and never will.
+  // The status of the router's own final response: 503 promises that the request has not run and never will.
   int finalStatus(bool out_of_time) const;
 
  private:
-  // Refusals and lost tries are bounded too: each costs the caller time.
+  // Attempts that did not run are limited too, since each costs the caller time.
   static constexpr uint32_t kMaximumRefusals = 3;
   static constexpr uint32_t kMaximumNeverSent = 4;
 
-  bool may_run_again_ = false;
+  bool is_repeatable_ = false;
   uint32_t max_attempts_ = 1;
   uint32_t sent_ = 0;
   uint32_t never_sent_ = 0;
--- a/src/forwarding/back_pressure.h
+++ b/src/forwarding/back_pressure.h
@@ -1,4 +1,5 @@
-// What a server asks of its callers in its answers, and so when it may be sent a request. Pure.
+// The rate limit, drain and back-off that a server requests in its responses, and when it may be sent a
+// request. Does no I/O.
 #pragma once
 
 #include <absl/time/time.h>
@@ -9,40 +10,41 @@
 
 class BackPressure {
  public:
-  // An answer of the server came: the rate that it named there, in requests a second from all gateways
-  // together; nothing: it named none. Returns whether that is news.
+  // The rate limit in a response of the server, in requests a second from all gateways together; nothing: it
+  // has none. Returns whether the limit changed.
   bool noteRateLimit(std::optional<double> rate);
-  // Holds until an answer names none.
+  // Holds until a response without a limit.
   std::optional<double> rateLimit() const { return rate_limit_; }
-  // The time in which the server takes one request; zero where it named no rate.
+  // Interval between requests at the rate limit; zero without one.
   absl::Duration timePerRequest() const;
-  // The keeper of the server's rate had none left.
+  // The owner of the server's rate limit had no tokens left.
   void noteRateUsedUp(absl::Duration retry_after, absl::Time now);
 
-  // An answer said that the server leaves; that holds for the rest of its life. Returns whether it is news.
+  // A response said that the server drains, which holds for the rest of its incarnation. Returns whether this
+  // is new.
   bool noteLeaving();
   bool isLeaving() const { return is_leaving_; }
 
-  // The server turned a request away and wants none from this gateway for so long. Returns whether its rest
-  // lasts longer now.
-  bool noteBackOff(absl::Duration rest, absl::Time now);
-  bool isBackingOff(absl::Time now) const { return now < rests_until_; }
-  absl::Time backOffUntil() const { return rests_until_; }
-  // A request goes there: the first one after a rest goes alone for a moment.
+  // The server rejected a request and asked this gateway to send none for this time. Returns whether the
+  // back-off period was extended.
+  bool noteBackOff(absl::Duration back_off, absl::Time now);
+  bool isBackingOff(absl::Time now) const { return now < back_off_until_; }
+  absl::Time backOffUntil() const { return back_off_until_; }
+  // A request is sent. After a back-off period the first one is a probe, and others wait for a moment.
   void noteSent(absl::Time now);
-  // An answer came that asks for no rest.
+  // A response came that requests no back-off.
   void noteResponse(absl::Time now);
 
-  // From when on the server may be chosen, as far as its own word goes.
+  // Earliest time at which the server may be chosen, as far as its own requests go.
   absl::Time availableAt() const;
 
  private:
   std::optional<double> rate_limit_;
-  absl::Time rate_used_up_until_ = absl::InfinitePast();
+  absl::Time rate_exhausted_until_ = absl::InfinitePast();
   bool is_leaving_ = false;
-  absl::Time rests_until_ = absl::InfinitePast();
-  bool is_half_open_ = false;  // it rested, and no answer has come since
-  absl::Time trial_until_ = absl::InfinitePast();
+  absl::Time back_off_until_ = absl::InfinitePast();
+  bool is_half_open_ = false;  // it backed off, and no response has come since
+  absl::Time probe_until_ = absl::InfinitePast();
 };
 
 }  // namespace quincewick::forwarding
--- a/src/forwarding/crash_register.cc
+++ b/src/forwarding/crash_register.cc
@@ -7,81 +7,82 @@
 namespace quincewick::forwarding {
 namespace {
 
-// Gateways hear of one end within milliseconds of each other; a server needs seconds to come back.
-constexpr absl::Duration kSameEnd = absl::Seconds(1);
-// A caller that comes back within it meets what is known of its request.
-constexpr absl::Duration kEndsCount = absl::Hours(1);
-constexpr absl::Duration kFallsCount = absl::Minutes(1);  // before a request's first end
-constexpr absl::Duration kEndsAreRetold = absl::Minutes(1);
-constexpr absl::Duration kBlameLasts = absl::Hours(24);  // after the request came last
-constexpr absl::Duration kServedCounts = absl::Minutes(1);
-// Bounds on memory, whatever callers send: about 0.4 MB with the tables around them.
-constexpr size_t kPresencesAtMost = 4096;
-constexpr size_t kBlamedAtMost = 1024;
-constexpr size_t kEndsAtMost = 1024;
-constexpr size_t kThereAtMost = 256;  // of one end
+// Gateways report one crash within milliseconds of each other; a server needs seconds to restart.
+constexpr absl::Duration kSameCrashWindow = absl::Seconds(1);
+// A client that retries within this time meets what is known of its request.
+constexpr absl::Duration kCrashRetention = absl::Hours(1);
+constexpr absl::Duration kUnrelatedCrashWindow = absl::Minutes(1);  // before a request's first crash
+constexpr absl::Duration kCrashReportWindow = absl::Minutes(1);
+constexpr absl::Duration kQuarantineRetention = absl::Hours(24);  // after the request last came
+constexpr absl::Duration kServedRetention = absl::Minutes(1);
+// Bounds on memory, whatever clients send: about 0.4 MB including the hash tables.
+constexpr size_t kMaxInFlightEntries = 4096;
+constexpr size_t kMaxQuarantined = 1024;
+constexpr size_t kMaxCrashes = 1024;
+constexpr size_t kMaxInFlightPerCrash = 256;
 
-bool holds(const std::vector<RequestIdentity>& requests, const RequestIdentity& identity) {
+bool contains(const std::vector<RequestIdentity>& requests, const RequestIdentity& identity) {
   return std::find(requests.begin(), requests.end(), identity) != requests.end();
 }
 
 }  // namespace
 
-// A life that ends again later is another start, which the list doesn't show yet.
-CrashRegister::EndNumber CrashRegister::numberOf(const ServerCrash& end, absl::Time at) {
-  const auto last = last_of_life_.find(end.incarnation);
-  if (last != last_of_life_.end()) {
-    if (at - ends_.at(last->second).at < kSameEnd) {
+// A later crash of the same identity belongs to a new incarnation that the server list doesn't show yet.
+CrashRegister::CrashNumber CrashRegister::crashNumberFor(const ServerCrash& crash, absl::Time at) {
+  const auto last = last_crash_of_incarnation_.find(crash.incarnation);
+  if (last != last_crash_of_incarnation_.end()) {
+    if (at - crashes_.at(last->second).at < kSameCrashWindow) {
       return last->second;
     }
   }
-  const EndNumber number = ++last_number_;
-  ends_[number] = {end.incarnation, end.service, at, {}};
-  ends_in_order_.push_back(number);
-  last_of_life_[end.incarnation] = number;
+  const CrashNumber number = ++last_number_;
+  crashes_[number] = {crash.incarnation, crash.service, at, {}};
+  crash_order_.push_back(number);
+  last_crash_of_incarnation_[crash.incarnation] = number;
   return number;
 }
 
-bool CrashRegister::noteCrash(const ServerCrash& end, absl::Time now) {
-  const EndNumber number = numberOf(end, now - std::max(end.ago, absl::ZeroDuration()));
-  std::vector<RequestIdentity>& in_flight = ends_.at(number).in_flight;
-  for (const RequestIdentity& identity : end.in_flight) {
-    if (in_flight.size() >= kThereAtMost || holds(in_flight, identity) || wasServed(identity, now)) {
+bool CrashRegister::noteCrash(const ServerCrash& crash, absl::Time now) {
+  const CrashNumber number = crashNumberFor(crash, now - std::max(crash.ago, absl::ZeroDuration()));
+  std::vector<RequestIdentity>& in_flight = crashes_.at(number).in_flight;
+  for (const RequestIdentity& identity : crash.in_flight) {
+    if (in_flight.size() >= kMaxInFlightPerCrash || contains(in_flight, identity) ||
+        wasServed(identity, now)) {
       continue;
     }
     in_flight.push_back(identity);
     suspects_[identity].push_back(number);
-    ++presences_;
+    ++in_flight_entries_;
   }
-  bool is_any_charged = false;
+  bool is_quarantine_pending = false;
   for (const RequestIdentity& identity : in_flight) {
-    if (!blamed_.contains(identity) && isToBlame(identity)) {
-      addBlame(identity, {now, now});
-      is_any_charged = true;
+    if (!quarantined_.contains(identity) && shouldQuarantine(identity)) {
+      addQuarantine(identity, {now, now});
+      is_quarantine_pending = true;
     }
   }
-  while (presences_ > kPresencesAtMost || ends_.size() > kEndsAtMost) {
-    dropOldestEnd();
+  while (in_flight_entries_ > kMaxInFlightEntries || crashes_.size() > kMaxCrashes) {
+    dropOldestCrash();
   }
-  return is_any_charged;
+  return is_quarantine_pending;
 }
 
 std::vector<RequestIdentity> CrashRegister::settle(absl::Time now) {
-  std::vector<RequestIdentity> to_blame;
-  absl::erase_if(blamed_, [this, now, &to_blame](auto& entry) {
-    auto& [identity, blame] = entry;
-    if (blame.is_settled || now - blame.since < kEvidenceDelay) {
+  std::vector<RequestIdentity> confirmed;
+  absl::erase_if(quarantined_, [this, now, &confirmed](auto& entry) {
+    auto& [identity, quarantine] = entry;
+    if (quarantine.is_settled || now - quarantine.since < kEvidenceDelay) {
       return false;
     }
-    blame.is_settled = isToBlame(identity);
-    if (blame.is_settled) {
-      to_blame.push_back(identity);
-      // It has had the tries that the site allows.
-      blame.had_trial = crashCount(identity) > kCrashesToQuarantineAmidUnrelated;
+    quarantine.is_settled = shouldQuarantine(identity);
+    if (quarantine.is_settled) {
+      confirmed.push_back(identity);
+      // The site allows no trial after this many crashes.
+      quarantine.had_trial = crashCount(identity) > kCrashesToQuarantineAmidUnrelated;
     }
-    return !blame.is_settled;
+    return !quarantine.is_settled;
   });
-  return to_blame;
+  return confirmed;
 }
 
 size_t CrashRegister::crashCount(const RequestIdentity& identity) const {
@@ -89,9 +90,9 @@
   return found == suspects_.end() ? 0 : found->second.size();
 }
 
-size_t CrashRegister::worstBeside(const End& end, const RequestIdentity& identity) const {
+size_t CrashRegister::maxCrashesOfOthers(const Crash& crash, const RequestIdentity& identity) const {
   size_t worst = 0;
-  for (const RequestIdentity& other : end.in_flight) {
+  for (const RequestIdentity& other : crash.in_flight) {
     if (other != identity) {
       worst = std::max(worst, crashCount(other));
     }
@@ -99,62 +100,62 @@
   return worst;
 }
 
-bool CrashRegister::isToBlame(const RequestIdentity& identity) const {
+bool CrashRegister::shouldQuarantine(const RequestIdentity& identity) const {
   const auto found = suspects_.find(identity);
   if (found == suspects_.end() || found->second.size() < kCrashesToQuarantine) {
     return false;
   }
-  const std::vector<EndNumber>& ends = found->second;
+  const std::vector<CrashNumber>& crashes = found->second;
   size_t unexplained = 0;
   size_t contested = 0;
-  for (const EndNumber number : ends) {
-    const size_t worst = worstBeside(ends_.at(number), identity);
-    unexplained += worst <= ends.size() ? 1 : 0;
-    contested += worst == ends.size() ? 1 : 0;
+  for (const CrashNumber number : crashes) {
+    const size_t worst = maxCrashesOfOthers(crashes_.at(number), identity);
+    unexplained += worst <= crashes.size() ? 1 : 0;
+    contested += worst == crashes.size() ? 1 : 0;
   }
-  const size_t needed = endsToBlame(identity, contested == unexplained);
-  // Two that end servers may have met at some of these ends.
-  const bool is_one_of_several = unexplained >= kCrashesToIsolate && ends.size() > needed;
-  return unexplained >= needed || is_one_of_several;
+  const size_t needed = crashesNeeded(identity, contested == unexplained);
+  // Two culprits may have been in flight at some of these crashes.
+  const bool is_one_of_several_culprits = unexplained >= kCrashesToIsolate && crashes.size() > needed;
+  return unexplained >= needed || is_one_of_several_culprits;
 }
 
-size_t CrashRegister::endsToBlame(const RequestIdentity& identity, bool is_contested) const {
-  const std::vector<EndNumber>& ends = suspects_.at(identity);
-  if (fallsWithout(identity, ends) >= kMinUnrelatedCrashes) {
+size_t CrashRegister::crashesNeeded(const RequestIdentity& identity, bool is_contested) const {
+  const std::vector<CrashNumber>& crashes = suspects_.at(identity);
+  if (unrelatedCrashes(identity, crashes) >= kMinUnrelatedCrashes) {
     return kCrashesToQuarantineAmidUnrelated;
   }
-  const absl::Time first = ends_.at(ends.front()).at;
-  const bool came_at_once = ends_.at(ends.back()).at - first < kBurstWindow;
-  const bool are_falls_unknown = first - kFallsCount < started_;
-  return is_contested || came_at_once || are_falls_unknown ? kCrashesToQuarantineIfContested
-                                                           : kCrashesToQuarantine;
+  const absl::Time first = crashes_.at(crashes.front()).at;
+  const bool is_burst = crashes_.at(crashes.back()).at - first < kBurstWindow;
+  const bool is_history_short = first - kUnrelatedCrashWindow < started_;
+  return is_contested || is_burst || is_history_short ? kCrashesToQuarantineIfContested
+                                                      : kCrashesToQuarantine;
 }
 
-size_t CrashRegister::fallsWithout(const RequestIdentity& identity,
-                                   const std::vector<EndNumber>& ends) const {
-  const End& first = ends_.at(ends.front());
-  size_t falls = 0;
-  for (const auto& [number, end] : ends_) {
-    const bool is_lately = end.service == first.service && end.at >= first.at - kFallsCount;
-    const bool has_culprit = worstBeside(end, identity) > 1;
-    falls += is_lately && !has_culprit && !holds(end.in_flight, identity) ? 1 : 0;
+size_t CrashRegister::unrelatedCrashes(const RequestIdentity& identity,
+                                       const std::vector<CrashNumber>& crashes) const {
+  const Crash& first = crashes_.at(crashes.front());
+  size_t count = 0;
+  for (const auto& [number, crash] : crashes_) {
+    const bool is_recent = crash.service == first.service && crash.at >= first.at - kUnrelatedCrashWindow;
+    const bool has_culprit = maxCrashesOfOthers(crash, identity) > 1;
+    count += is_recent && !has_culprit && !contains(crash.in_flight, identity) ? 1 : 0;
   }
-  return falls;
+  return count;
 }
 
 bool CrashRegister::noteServed(const RequestIdentity& identity, absl::Time now) {
   servedSlot(identity) = {identity, now};
-  const bool was_charged = suspects_.contains(identity) || blamed_.contains(identity);
-  if (was_charged) {
+  const bool had_evidence = suspects_.contains(identity) || quarantined_.contains(identity);
+  if (had_evidence) {
     dropEvidence(identity);
-    blamed_.erase(identity);
+    quarantined_.erase(identity);
   }
-  return was_charged;
+  return had_evidence;
 }
 
 bool CrashRegister::wasServed(const RequestIdentity& identity, absl::Time now) const {
   const Served& served = servedSlot(identity);
-  return served.identity == identity && now - served.at < kServedCounts;
+  return served.identity == identity && now - served.at < kServedRetention;
 }
 
 void CrashRegister::dropEvidence(const RequestIdentity& identity) {
@@ -162,100 +163,101 @@
   if (found == suspects_.end()) {
     return;
   }
-  for (const EndNumber number : found->second) {
-    presences_ -= std::erase(ends_.at(number).in_flight, identity);
+  for (const CrashNumber number : found->second) {
+    in_flight_entries_ -= std::erase(crashes_.at(number).in_flight, identity);
   }
   suspects_.erase(found);
 }
 
-bool CrashRegister::noteQuarantined(const QuarantinedRequest& blamed, absl::Time now) {
-  const auto found = blamed_.find(blamed.identity);
-  const bool is_known = found != blamed_.end() && found->second.is_settled;
+bool CrashRegister::noteQuarantined(const QuarantinedRequest& request, absl::Time now) {
+  const auto found = quarantined_.find(request.identity);
+  const bool is_known = found != quarantined_.end() && found->second.is_settled;
   if (is_known) {
-    found->second.had_trial = found->second.had_trial || blamed.had_trial;
+    found->second.had_trial = found->second.had_trial || request.had_trial;
   }
-  if (wasServed(blamed.identity, now) || is_known) {
+  if (wasServed(request.identity, now) || is_known) {
     return false;
   }
-  addBlame(blamed.identity, {now, now, true, blamed.had_trial});
+  addQuarantine(request.identity, {now, now, true, request.had_trial});
   return true;
 }
 
 bool CrashRegister::isTrialDue(const RequestIdentity& identity, absl::Time now) const {
-  const auto found = blamed_.find(identity);
-  return found != blamed_.end() && found->second.is_settled && !found->second.had_trial && !apart_ &&
+  const auto found = quarantined_.find(identity);
+  return found != quarantined_.end() && found->second.is_settled && !found->second.had_trial && !isolated_ &&
          now - found->second.since >= kTrialDelay;
 }
 
 void CrashRegister::takeTrial(const RequestIdentity& identity, absl::Time now) {
-  Blame& blame = blamed_.at(identity);
-  blame.had_trial = true;
-  blame.may_be_sent = true;
-  apart_ = {identity, now};
+  Quarantine& quarantine = quarantined_.at(identity);
+  quarantine.had_trial = true;
+  quarantine.may_be_sent = true;
+  isolated_ = {identity, now};
 }
 
-void CrashRegister::addBlame(const RequestIdentity& identity, const Blame& blame) {
-  if (blamed_.size() >= kBlamedAtMost) {
-    blamed_.erase(std::min_element(blamed_.begin(), blamed_.end(), [](const auto& left, const auto& right) {
-      return left.second.asked < right.second.asked;
-    }));
+void CrashRegister::addQuarantine(const RequestIdentity& identity, const Quarantine& quarantine) {
+  if (quarantined_.size() >= kMaxQuarantined) {
+    quarantined_.erase(
+        std::min_element(quarantined_.begin(), quarantined_.end(), [](const auto& left, const auto& right) {
+          return left.second.last_requested < right.second.last_requested;
+        }));
   }
-  blamed_[identity] = blame;
+  quarantined_[identity] = quarantine;
 }
 
 void CrashRegister::noteSent(const RequestIdentity& identity, absl::Time now) {
-  if (const auto found = blamed_.find(identity); found != blamed_.end()) {
+  if (const auto found = quarantined_.find(identity); found != quarantined_.end()) {
     found->second.may_be_sent = false;
   }
   if (crashCount(identity) >= kCrashesToIsolate) {
-    apart_ = {identity, now};
+    isolated_ = {identity, now};
   }
 }
 
 void CrashRegister::noteOver(const RequestIdentity& identity) {
-  if (apart_ && apart_->identity == identity) {
-    apart_.reset();
+  if (isolated_ && isolated_->identity == identity) {
+    isolated_.reset();
   }
 }
 
 CrashVerdict CrashRegister::verdictOn(const RequestIdentity& identity, absl::Time now) {
-  const auto found = blamed_.find(identity);
-  if (found == blamed_.end()) {
-    const bool another_runs = apart_ && now - apart_->since < kMaxIsolationTime;
-    return another_runs && crashCount(identity) >= kCrashesToIsolate ? CrashVerdict::kWait
-                                                                     : CrashVerdict::kSend;
+  const auto found = quarantined_.find(identity);
+  if (found == quarantined_.end()) {
+    const bool is_other_isolated = isolated_ && now - isolated_->since < kMaxIsolationTime;
+    return is_other_isolated && crashCount(identity) >= kCrashesToIsolate ? CrashVerdict::kWait
+                                                                          : CrashVerdict::kSend;
   }
-  found->second.asked = now;
+  found->second.last_requested = now;
   if (found->second.may_be_sent) {
     return CrashVerdict::kSend;
   }
   return found->second.is_settled ? CrashVerdict::kReject : CrashVerdict::kWait;
 }
 
-std::vector<QuarantinedRequest> CrashRegister::blamed(size_t most) const {
+std::vector<QuarantinedRequest> CrashRegister::blamed(size_t limit) const {
   std::vector<std::pair<absl::Time, RequestIdentity>> all;
-  all.reserve(blamed_.size());
-  for (const auto& [identity, blame] : blamed_) {
-    if (blame.is_settled) {
-      all.emplace_back(blame.asked, identity);
+  all.reserve(quarantined_.size());
+  for (const auto& [identity, quarantine] : quarantined_) {
+    if (quarantine.is_settled) {
+      all.emplace_back(quarantine.last_requested, identity);
     }
   }
   std::sort(all.rbegin(), all.rend());
-  all.resize(std::min(all.size(), most));
+  all.resize(std::min(all.size(), limit));
   std::vector<QuarantinedRequest> result;
   result.reserve(all.size());
-  for (const auto& [asked, identity] : all) {
-    result.push_back({identity, blamed_.at(identity).had_trial});
+  for (const auto& [last_requested, identity] : all) {
+    result.push_back({identity, quarantined_.at(identity).had_trial});
   }
   return result;
 }
 
-std::vector<RequestIdentity> CrashRegister::worstSuspects(absl::Time now) const {
+std::vector<RequestIdentity> CrashRegister::suspectsByCrashCount(absl::Time now) const {
   std::vector<std::pair<size_t, RequestIdentity>> worst;
-  for (const auto& [identity, ends] : suspects_) {
-    const bool is_recent = now - ends_.at(ends.back()).at <= kEndsAreRetold;
-    if (ends.size() >= kCrashesToIsolate && is_recent && !blamed_.contains(identity)) {
-      worst.emplace_back(ends.size(), identity);
+  for (const auto& [identity, crashes] : suspects_) {
+    const bool is_recent = now - crashes_.at(crashes.back()).at <= kCrashReportWindow;
+    if (crashes.size() >= kCrashesToIsolate && is_recent && !quarantined_.contains(identity)) {
+      worst.emplace_back(crashes.size(), identity);
     }
   }
   std::sort(worst.rbegin(), worst.rend());
@@ -267,55 +269,57 @@
   return result;
 }
 
-std::vector<ServerCrash> CrashRegister::unresolvedCrashes(size_t most, absl::Time now) const {
-  std::map<EndNumber, ServerCrash> open;
-  size_t held = 0;
-  for (const RequestIdentity& identity : worstSuspects(now)) {
-    const std::vector<EndNumber>& ends = suspects_.at(identity);
-    held += ends.size();
-    if (held > most) {
+std::vector<ServerCrash> CrashRegister::unresolvedCrashes(size_t limit, absl::Time now) const {
+  std::map<CrashNumber, ServerCrash> open;
+  size_t entries = 0;
+  for (const RequestIdentity& identity : suspectsByCrashCount(now)) {
+    const std::vector<CrashNumber>& crashes = suspects_.at(identity);
+    entries += crashes.size();
+    if (entries > limit) {
       break;
     }
-    for (const EndNumber number : ends) {
-      const End& end = ends_.at(number);
-      ServerCrash& told = open[number];
-      told.incarnation = end.incarnation;
-      told.service = end.service;
-      told.ago = now - end.at;
-      told.in_flight.push_back(identity);
+    for (const CrashNumber number : crashes) {
+      const Crash& crash = crashes_.at(number);
+      ServerCrash& report = open[number];
+      report.incarnation = crash.incarnation;
+      report.service = crash.service;
+      report.ago = now - crash.at;
+      report.in_flight.push_back(identity);
     }
   }
   std::vector<ServerCrash> result;
   result.reserve(open.size());
-  for (auto& [number, end] : open) {
-    result.push_back(std::move(end));
+  for (auto& [number, crash] : open) {
+    result.push_back(std::move(crash));
   }
   return result;
 }
 
-void CrashRegister::dropOldestEnd() {
-  const EndNumber number = ends_in_order_.front();
-  ends_in_order_.pop_front();
-  const End& end = ends_.at(number);
-  for (const RequestIdentity& identity : end.in_flight) {
-    std::vector<EndNumber>& ends = suspects_.at(identity);
-    std::erase(ends, number);
-    if (ends.empty()) {
+void CrashRegister::dropOldestCrash() {
+  const CrashNumber number = crash_order_.front();
+  crash_order_.pop_front();
+  const Crash& crash = crashes_.at(number);
+  for (const RequestIdentity& identity : crash.in_flight) {
+    std::vector<CrashNumber>& crashes = suspects_.at(identity);
+    std::erase(crashes, number);
+    if (crashes.empty()) {
       suspects_.erase(identity);
     }
   }
-  presences_ -= end.in_flight.size();
-  if (last_of_life_.at(end.incarnation) == number) {
-    last_of_life_.erase(end.incarnation);
+  in_flight_entries_ -= crash.in_flight.size();
+  if (last_crash_of_incarnation_.at(crash.incarnation) == number) {
+    last_crash_of_incarnation_.erase(crash.incarnation);
   }
-  ends_.erase(number);
+  crashes_.erase(number);
 }
 
 void CrashRegister::dropExpired(absl::Time now) {
-  while (!ends_in_order_.empty() && now - ends_.at(ends_in_order_.front()).at > kEndsCount) {
-    dropOldestEnd();
+  while (!crash_order_.empty() && now - crashes_.at(crash_order_.front()).at > kCrashRetention) {
+    dropOldestCrash();
   }
-  absl::erase_if(blamed_, [now](const auto& entry) { return now - entry.second.asked > kBlameLasts; });
+  absl::erase_if(quarantined_, [now](const auto& entry) {
+    return now - entry.second.last_requested > kQuarantineRetention;
+  });
 }
 
 }  // namespace quincewick::forwarding
--- a/src/forwarding/crash_register.h
+++ b/src/forwarding/crash_register.h
@@ -1,9 +1,9 @@
-// Which requests end the servers that run them, as far as this gateway knows: its own evidence and what
-// others tell (docs/design/crashing_requests.md). Pure; `now` never goes back.
+// Decides which requests crash the servers that run them, from this gateway's evidence and what peers report
+// (docs/design/crashing_requests.md). Does no I/O; `now` never goes back.
 //
-// All that was in hand at a server ends with it, so evidence against the request that ended it is evidence
-// against those beside it, too: what was served whole elsewhere is sound, and an end that a worse request
-// explains isn't held against others.
+// A crash ends all requests in flight at the server, so evidence against the request that caused it is also
+// evidence against those beside it. Two rules clear the others: a request that was served completely is
+// sound, and a crash that a worse suspect explains is not held against the rest.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -20,17 +20,17 @@
 
 namespace quincewick::forwarding {
 
-// A server ended while these requests were in hand there.
+// A server crashed while these requests were in flight there.
 struct ServerCrash {
   uint64_t incarnation = 0;  // the server's identity hash
   uint64_t service = 0;      // the hash of its service's name
   std::vector<RequestIdentity> in_flight;
-  absl::Duration ago = absl::ZeroDuration();  // since it ended, when this is told
+  absl::Duration ago = absl::ZeroDuration();  // time since the crash when this is reported
 };
 
 struct QuarantinedRequest {
   RequestIdentity identity;
-  bool had_trial = false;  // once more, since it was blamed
+  bool had_trial = false;  // was sent once more since it was quarantined
 
   friend bool operator==(const QuarantinedRequest&, const QuarantinedRequest&) = default;
 };
@@ -38,91 +38,94 @@
 // What may be done with a request now.
 enum class CrashVerdict : uint8_t {
   kSend,
-  kWait,    // for another gateway's objection, or for the end of another suspect's run
-  kReject,  // it ends the servers that run it
+  kWait,    // for evidence from other gateways, or until another suspect's isolated run is over
+  kReject,  // it is quarantined
 };
 
 class CrashRegister {
  public:
-  // `started`: nothing is known of ends before it.
+  // `started`: nothing is known of crashes before it.
   explicit CrashRegister(absl::Time started) : started_(started) {}
 
-  // Takes an end that was seen here or told by a peer; one that is known takes the requests it lacks. Returns
-  // whether a request is about to be blamed: then `settle` is due after kEvidenceDelay.
-  bool noteCrash(const ServerCrash& end, absl::Time now);
-  // Decides on what was about to be blamed for kEvidenceDelay, by all evidence that came meanwhile. Returns
-  // the requests that are to blame from now on.
+  // Records a crash that was seen here or reported by a peer; a known one gets the requests it lacks. Returns
+  // whether a request is about to be quarantined: call `settle` after kEvidenceDelay.
+  bool noteCrash(const ServerCrash& crash, absl::Time now);
+  // Decides on requests that have been about to be quarantined for kEvidenceDelay, by all evidence received
+  // meanwhile. Returns the newly quarantined ones.
   std::vector<RequestIdentity> settle(absl::Time now);
-  // It was served whole, here or at a peer: what was held against it is void. Returns whether there was any.
+  // The request was served completely, here or at a peer, which voids all evidence against it. Returns
+  // whether there was any.
   bool noteServed(const RequestIdentity& identity, absl::Time now);
-  // A peer, or a record of earlier, tells that it is to blame. Returns whether that is news.
-  bool noteQuarantined(const QuarantinedRequest& blamed, absl::Time now);
-  // Whether it is to blame and should be tried once more, for it may have stood beside others all the time:
-  // one gateway of the site does so, and tells it before (`takeTrial`).
+  // A peer or the stored record reports a quarantined request. Returns whether it is new here.
+  bool noteQuarantined(const QuarantinedRequest& request, absl::Time now);
+  // Whether a quarantined request is due to be sent once more, since it may always have run beside the
+  // culprit. One gateway of the site does so and reports it first (`takeTrial`).
   bool isTrialDue(const RequestIdentity& identity, absl::Time now) const;
   void takeTrial(const RequestIdentity& identity, absl::Time now);
 
   CrashVerdict verdictOn(const RequestIdentity& identity, absl::Time now);
-  // An attempt at a server begins, and is over. Of requests under which two servers ended, this gateway has
-  // one at a time under way: so what ends the next server is told apart from what stood beside it.
+  // An attempt at a server begins (`noteSent`) and is over (`noteOver`). Of the requests with two crashes
+  // this gateway runs one at a time, which separates the cause of the next crash from requests beside it.
   void noteSent(const RequestIdentity& identity, absl::Time now);
   void noteOver(const RequestIdentity& identity);
-  // Whether a server has ended under it, so that another end must be known before it is tried again.
+  // Whether a server crashed under it, so that the outcome must be known before it is tried again.
   bool isSuspect(const RequestIdentity& identity) const { return suspects_.contains(identity); }
-  // Whether it was served whole lately.
+  // Whether it was served completely within the last minute.
   bool wasServed(const RequestIdentity& identity, absl::Time now) const;
-  // Those that are rejected, the latest asked for first, `most` at most.
-  std::vector<QuarantinedRequest> blamed(size_t most) const;
-  // All ends under the requests that are nearest to be blamed, of those under which a server ended within the
-  // last minute: what a gateway that starts must know to count on. As many as hold `most` requests.
-  std::vector<ServerCrash> unresolvedCrashes(size_t most, absl::Time now) const;
-  bool isQuarantined(const RequestIdentity& identity) const { return blamed_.contains(identity); }
-  size_t quarantinedCount() const { return blamed_.size(); }
+  // At most `limit` quarantined requests, the most recently requested first.
+  std::vector<QuarantinedRequest> blamed(size_t limit) const;
+  // Crashes under the suspects closest to quarantine whose last crash is at most a minute old: what a
+  // starting gateway needs to continue the count. They hold at most `limit` request entries.
+  std::vector<ServerCrash> unresolvedCrashes(size_t limit, absl::Time now) const;
+  bool isQuarantined(const RequestIdentity& identity) const { return quarantined_.contains(identity); }
+  size_t quarantinedCount() const { return quarantined_.size(); }
   size_t suspectCount() const { return suspects_.size(); }
-  // Distinct ends that are held against the request.
+  // Distinct crashes that are held against the request.
   size_t crashCount(const RequestIdentity& identity) const;
-  // Forgets what is too old to count.
+  // Drops crashes and quarantines whose retention has passed.
   void dropExpired(absl::Time now);
 
-  // Three ends are what the site allows a request.
+  // The site allows a request three crashes.
   static constexpr size_t kCrashesToQuarantine = 3;
-  // Where in each of its ends another request is as bad; where all came at once, as where part of a service
-  // falls; and where this gateway hasn't been there long enough to know whether servers fall anyway. The site
-  // allows three more tries after the third end: this one, the trial below, and one that was under way.
+  // Applies if in each of its crashes another request is as suspicious, if all crashes came at once, as when
+  // part of a service fails, or if this gateway has not run long enough to know whether servers crash anyway.
+  // The site allows three more attempts after the third crash: this one, the trial, and one in flight.
   static constexpr size_t kCrashesToQuarantineIfContested = 4;
   static constexpr absl::Duration kBurstWindow = absl::Seconds(1);
-  // Where servers of its service have fallen without it lately, and without another to blame, so often at
-  // least:
+  // Applies if at least kMinUnrelatedCrashes servers of its service crashed recently without it and without
+  // another suspect.
   static constexpr size_t kCrashesToQuarantineAmidUnrelated = 4;
   static constexpr size_t kMinUnrelatedCrashes = 2;
-  // From so many on a request runs apart from others like it.
+  // From this many crashes on, a request runs isolated from other suspects.
   static constexpr size_t kCrashesToIsolate = 2;
-  // A run of longer lets the next one begin: what ends servers does so sooner.
+  // After this time the next isolated run may begin; requests that crash servers do so sooner.
   static constexpr absl::Duration kMaxIsolationTime = absl::Seconds(2);
-  // From its blame until a request is tried once more. By then its culprit, if it was another, is rejected
+  // From quarantine until the trial. By then the actual culprit, if it is another request, is rejected
   // everywhere.
   static constexpr absl::Duration kTrialDelay = absl::Seconds(5);
-  // Until others have told who else was there, and objected: twice the time between the farthest regions and
-  // the gathering of news, and as much again for a busy gateway. Without it a request beside the culprit was
-  // blamed, for the culprit's presence at the last end was told 60 ms later.
+  // Time for peers to report which other requests were in flight, and which are sound: twice the latency
+  // between the farthest regions plus the batching of updates, and as much again for a busy gateway. Without
+  // it a request beside the culprit was quarantined because the culprit's presence at the last crash was
+  // reported 60 ms later.
   static constexpr absl::Duration kEvidenceDelay = absl::Milliseconds(150);
 
  private:
-  struct End {
+  struct Crash {
     uint64_t incarnation = 0;
     uint64_t service = 0;
     absl::Time at;
     std::vector<RequestIdentity> in_flight;
   };
-  struct Blame {
+  struct Quarantine {
     absl::Time since;
-    absl::Time asked;  // when the request came last
+    absl::Time last_requested;
     bool is_settled = false;
-    bool had_trial = false;  // or is about to be
-    // Its trial was taken here and has not been sent yet: it is asked for several times on a request's way.
+    bool had_trial = false;  // or is about to have it
+    // This gateway took the trial and has not sent it yet. A request's verdict is read several times before
+    // it is sent.
     bool may_be_sent = false;
   };
-  struct Apart {
+  struct Isolated {
     RequestIdentity identity;
     absl::Time since;
   };
@@ -130,39 +133,40 @@
     RequestIdentity identity;
     absl::Time at = absl::InfinitePast();
   };
-  using EndNumber = uint64_t;
-
-  EndNumber numberOf(const ServerCrash& end, absl::Time at);
-  bool isToBlame(const RequestIdentity& identity) const;
-  size_t endsToBlame(const RequestIdentity& identity, bool is_contested) const;
-  // How many of its service fell lately without it, and without another to blame.
-  size_t fallsWithout(const RequestIdentity& identity, const std::vector<EndNumber>& ends) const;
-  // The most ends of a request that was there, other than `identity`.
-  size_t worstBeside(const End& end, const RequestIdentity& identity) const;
-  // Those to run apart that are not blamed, the worst first.
-  std::vector<RequestIdentity> worstSuspects(absl::Time now) const;
+  using CrashNumber = uint64_t;
+
+  CrashNumber crashNumberFor(const ServerCrash& crash, absl::Time at);
+  bool shouldQuarantine(const RequestIdentity& identity) const;
+  size_t crashesNeeded(const RequestIdentity& identity, bool is_contested) const;
+  // Recent crashes of its service without it and without another suspect.
+  size_t unrelatedCrashes(const RequestIdentity& identity, const std::vector<CrashNumber>& crashes) const;
+  // The greatest crash count among requests in flight at the crash other than `identity`.
+  size_t maxCrashesOfOthers(const Crash& crash, const RequestIdentity& identity) const;
+  // Requests to isolate that are not quarantined, the highest crash count first.
+  std::vector<RequestIdentity> suspectsByCrashCount(absl::Time now) const;
   void dropEvidence(const RequestIdentity& identity);
-  void dropOldestEnd();
-  void addBlame(const RequestIdentity& identity, const Blame& blame);
+  void dropOldestCrash();
+  void addQuarantine(const RequestIdentity& identity, const Quarantine& quarantine);
   Served& servedSlot(const RequestIdentity& identity) { return served_[identity.low % served_.size()]; }
   const Served& servedSlot(const RequestIdentity& identity) const {
     return served_[identity.low % served_.size()];
   }
 
-  // A gateway of the largest planned site serves some 30 requests a second: over a minute of them.
-  static constexpr size_t kServedKept = 2048;
+  // A gateway of the largest planned site serves about 30 requests a second: this holds over a minute of
+  // them.
+  static constexpr size_t kServedEntries = 2048;
 
   absl::Time started_;
 
-  absl::flat_hash_map<EndNumber, End> ends_;
-  std::deque<EndNumber> ends_in_order_;
-  absl::flat_hash_map<uint64_t, EndNumber> last_of_life_;
-  size_t presences_ = 0;  // requests over all ends
-  absl::flat_hash_map<RequestIdentity, std::vector<EndNumber>> suspects_;
-  absl::flat_hash_map<RequestIdentity, Blame> blamed_;
-  std::optional<Apart> apart_;  // the suspect under way
-  std::array<Served, kServedKept> served_{};
-  EndNumber last_number_ = 0;
+  absl::flat_hash_map<CrashNumber, Crash> crashes_;
+  std::deque<CrashNumber> crash_order_;  // oldest first
+  absl::flat_hash_map<uint64_t, CrashNumber> last_crash_of_incarnation_;
+  size_t in_flight_entries_ = 0;  // requests over all crashes
+  absl::flat_hash_map<RequestIdentity, std::vector<CrashNumber>> suspects_;
+  absl::flat_hash_map<RequestIdentity, Quarantine> quarantined_;
+  std::optional<Isolated> isolated_;  // the suspect that runs now
+  std::array<Served, kServedEntries> served_{};
+  CrashNumber last_number_ = 0;
 };
 
 }  // namespace quincewick::forwarding
--- a/src/forwarding/dialect.h
+++ b/src/forwarding/dialect.h
@@ -1,5 +1,5 @@
-// How the outside spells its messages: names of headers and fields, calls and their bodies. An implementation
-// translates and decides nothing.
+// The external protocol: names of headers and fields, calls and their bodies. Implementations translate and
+// make no decisions.
 #pragma once
 
 #include <cstdint>
@@ -16,32 +16,32 @@
 
 namespace quincewick::forwarding {
 
-// A row of the store's tables. `value` is as the writer gave it.
+// A row of the store's tables. `value` is exactly what the writer stored.
 struct StoreRow {
   std::string table;
   std::string key;
   std::string value;
-  uint64_t version = 0;  // 0 in a condition: the row isn't there
+  uint64_t version = 0;  // 0 in a condition: the row does not exist
   bool is_gone = false;
 };
 
-// A row to write; with `expected_version`, only if its version still is that one (0: it isn't there).
+// A row to write; with `expected_version`, only if that is still its version (0: the row does not exist).
 struct RowWrite {
   StoreRow row;
   std::optional<uint64_t> expected_version;
 };
 
-// Rows as of one moment.
+// A consistent read of rows.
 struct StoreRows {
   std::vector<StoreRow> rows;
   bool has_more = false;
-  uint64_t version = 0;  // the store's newest
+  uint64_t version = 0;  // the store's latest
   absl::Duration clock;  // the store's steady clock
 };
 
-// The tables that the outside keeps; others are this project's own.
+// Tables that belong to external systems; others belong to this project.
 struct StoreTables {
-  std::string configuration;  // one row of the newest configuration, and a row for each named version
+  std::string configuration;  // one row for the latest configuration, and one for each named version
   std::string configuration_key;
   std::string weights_prefix;  // of the keys of named versions
   std::string rollout_prefix;  // of the keys of rollouts of services
@@ -55,13 +55,13 @@
   Dialect& operator=(const Dialect&) = delete;
   virtual ~Dialect() = default;
 
-  // Requests and answers.
+  // Requests and responses.
   virtual RequestFacts readRequest(const HttpHead& head) const = 0;
   virtual ResponseFacts readResponse(const HttpHead& head) const = 0;
-  // The request's fields as a server gets them: the caller's own but for those of one connection and those
-  // that the system sets.
+  // The request's fields as sent to a server: the caller's, without hop-by-hop fields, and with those that
+  // the system sets.
   virtual HeaderFields fieldsForServer(const HttpHead& head, const SendFacts& facts) const = 0;
-  // The field that echoes an attempt in an answer of our own.
+  // The field that echoes the attempt id in the router's own response.
   virtual HeaderField attemptField(const std::string& attempt_id) const = 0;
 
   // The store.
@@ -71,13 +71,13 @@
   // All of them or none.
   virtual HttpCall writeRows(const std::vector<RowWrite>& writes) const = 0;
   virtual Result<StoreRows> readRowsResponse(std::string_view body) const = 0;
-  // Rises when the store lost what it had acknowledged; nothing where none is told. Errors:
+  // The store's era, which rises when it lost acknowledged writes; nothing if the response has none. Errors:
   // kInvalidArgument.
   virtual Result<std::optional<uint64_t>> readStoreEra(const HttpHead& head) const = 0;
   virtual Result<SiteConfiguration> readConfiguration(std::string_view value) const = 0;
   virtual Result<NamedWeights> readNamedWeights(std::string_view value) const = 0;
   virtual Result<RolloutRequest> readRolloutRequest(std::string_view key, std::string_view value) const = 0;
-  // The row that tells the operator how a rollout stands.
+  // The row that shows the operator a rollout's state.
   virtual StoreRow rolloutStatusRow(const RolloutStatus& status) const = 0;
   virtual Result<ServerEntry> readServer(std::string_view id, std::string_view value) const = 0;
 
--- a/src/forwarding/engine_capability.cc
+++ b/src/forwarding/engine_capability.cc
@@ -6,17 +6,17 @@
 namespace quincewick::forwarding {
 namespace {
 
-// Readings come about four times a second from an engine, and slow moments last half a second to some
-// seconds: a shorter half-life has too few readings, a longer one forgets too late.
+// An engine yields about four samples a second, and slow periods last from half a second to some seconds: a
+// shorter half-life has too few samples, a longer one keeps outdated ones.
 constexpr absl::Duration kHalfLife = absl::Seconds(4);
-// Fewer streams' pauses tell nothing yet.
-constexpr double kFewestPauses = 2;
-// Keepers tell again within this, so what is older has a keeper that fell silent, or an engine without
-// requests.
-constexpr absl::Duration kHeldFor = absl::Seconds(3);
-constexpr double kSpeedsApart = 20;  // slower or faster than the first guess is taken as this
+// Estimates from fewer pauses are reduced.
+constexpr double kMinPauses = 2;
+// Owners report again within this time, so an older report has an owner that stopped reporting or an engine
+// without requests.
+constexpr absl::Duration kFullTrustTime = absl::Seconds(3);
+constexpr double kMaxSpeedRatio = 20;  // samples are clamped to the default time over or times this
 
-double halved(absl::Duration age) {
+double decayFactor(absl::Duration age) {
   return std::exp2(-absl::FDivDuration(age, kHalfLife));
 }
 
@@ -26,8 +26,8 @@
   if (pause <= absl::ZeroDuration()) {
     return 0;
   }
-  // A normal distribution's share beyond, by the logistic curve that comes closest; its standard deviation
-  // is 1.25 of the mean deviation. A spread of less than a tenth is not believed.
+  // Tail of a normal distribution, approximated by a logistic curve. The standard deviation is 1.25 times the
+  // mean deviation, and at least a tenth of the mean.
   const double deviation =
       std::max(1.25 * absl::ToDoubleSeconds(pause_deviation), absl::ToDoubleSeconds(pause) / 10);
   const double distance = absl::ToDoubleSeconds(allowed - pause) / deviation;
@@ -38,35 +38,36 @@
   if (told == absl::InfinitePast()) {
     return {};
   }
-  const double trust = halved(std::max(now - told - kHeldFor, absl::ZeroDuration()));
-  EngineCapability faded;
-  faded.read_per_token = kDefaultReadPerToken + (capability.read_per_token - kDefaultReadPerToken) * trust;
-  faded.pause = capability.pause * trust;
-  faded.pause_deviation = capability.pause_deviation * trust;
-  return faded;
+  const double trust = decayFactor(std::max(now - told - kFullTrustTime, absl::ZeroDuration()));
+  EngineCapability discounted;
+  discounted.read_per_token =
+      kDefaultReadPerToken + (capability.read_per_token - kDefaultReadPerToken) * trust;
+  discounted.pause = capability.pause * trust;
+  discounted.pause_deviation = capability.pause_deviation * trust;
+  return discounted;
 }
 
-CapabilityEstimator::CapabilityEstimator(const EngineCapability& told, absl::Time now) : aged_(now) {
+CapabilityEstimator::CapabilityEstimator(const EngineCapability& initial, absl::Time now) : decayed_at_(now) {
   read_tokens_ = kPriorTokens;
-  read_seconds_ = absl::ToDoubleSeconds(told.read_per_token) * read_tokens_;
-  if (told.pause > absl::ZeroDuration()) {
-    pauses_ = kFewestPauses;
-    pause_seconds_ = absl::ToDoubleSeconds(told.pause) * pauses_;
-    deviation_seconds_ = absl::ToDoubleSeconds(told.pause_deviation) * pauses_;
+  read_seconds_ = absl::ToDoubleSeconds(initial.read_per_token) * read_tokens_;
+  if (initial.pause > absl::ZeroDuration()) {
+    pauses_ = kMinPauses;
+    pause_seconds_ = absl::ToDoubleSeconds(initial.pause) * pauses_;
+    deviation_seconds_ = absl::ToDoubleSeconds(initial.pause_deviation) * pauses_;
   }
 }
 
 void CapabilityEstimator::notePrefillDone(uint64_t tokens, absl::Duration took, absl::Time now) {
-  age(now);
+  decayTo(now);
   const double expected = absl::ToDoubleSeconds(kDefaultReadPerToken) * static_cast<double>(tokens);
   const double seconds =
-      std::clamp(absl::ToDoubleSeconds(took), expected / kSpeedsApart, expected * kSpeedsApart);
+      std::clamp(absl::ToDoubleSeconds(took), expected / kMaxSpeedRatio, expected * kMaxSpeedRatio);
   read_tokens_ += static_cast<double>(tokens);
   read_seconds_ += seconds;
 }
 
 void CapabilityEstimator::notePause(absl::Duration longest, absl::Time now) {
-  age(now);
+  decayTo(now);
   const double seconds = absl::ToDoubleSeconds(longest);
   const double mean = pauses_ > 0 ? pause_seconds_ / pauses_ : seconds;
   pauses_ += 1;
@@ -74,28 +75,28 @@
   deviation_seconds_ += std::abs(seconds - mean);
 }
 
-void CapabilityEstimator::age(absl::Time now) {
-  const double kept = aged_ == absl::InfinitePast() ? 0 : halved(now - aged_);
-  aged_ = now;
-  read_tokens_ *= kept;
-  read_seconds_ *= kept;
-  pauses_ *= kept;
-  pause_seconds_ *= kept;
-  deviation_seconds_ *= kept;
+void CapabilityEstimator::decayTo(absl::Time now) {
+  const double factor = decayed_at_ == absl::InfinitePast() ? 0 : decayFactor(now - decayed_at_);
+  decayed_at_ = now;
+  read_tokens_ *= factor;
+  read_seconds_ *= factor;
+  pauses_ *= factor;
+  pause_seconds_ *= factor;
+  deviation_seconds_ *= factor;
 }
 
 EngineCapability CapabilityEstimator::at(absl::Time now) const {
-  CapabilityEstimator aged = *this;
-  aged.age(now);
+  CapabilityEstimator decayed = *this;
+  decayed.decayTo(now);
   EngineCapability result;
-  const double guessed_seconds = absl::ToDoubleSeconds(kDefaultReadPerToken) * kPriorTokens;
+  const double prior_seconds = absl::ToDoubleSeconds(kDefaultReadPerToken) * kPriorTokens;
   result.read_per_token =
-      absl::Seconds((aged.read_seconds_ + guessed_seconds) / (aged.read_tokens_ + kPriorTokens));
-  // Fewer than that fade as well: the less is left of them, the less is said.
-  if (aged.pauses_ > 0) {
-    const double trust = std::min(1.0, aged.pauses_ / kFewestPauses);
-    result.pause = absl::Seconds(aged.pause_seconds_ / aged.pauses_ * trust);
-    result.pause_deviation = absl::Seconds(aged.deviation_seconds_ / aged.pauses_ * trust);
+      absl::Seconds((decayed.read_seconds_ + prior_seconds) / (decayed.read_tokens_ + kPriorTokens));
+  // With fewer than kMinPauses left, the pause decays to zero, which means unknown.
+  if (decayed.pauses_ > 0) {
+    const double trust = std::min(1.0, decayed.pauses_ / kMinPauses);
+    result.pause = absl::Seconds(decayed.pause_seconds_ / decayed.pauses_ * trust);
+    result.pause_deviation = absl::Seconds(decayed.deviation_seconds_ / decayed.pauses_ * trust);
   }
   return result;
 }
--- a/src/forwarding/engine_placement.cc
+++ b/src/forwarding/engine_placement.cc
@@ -13,16 +13,16 @@
 namespace quincewick::forwarding {
 namespace {
 
-constexpr uint64_t kFewestTokensToFetch = 48;
-constexpr uint64_t kFewestTokensToStore = 512;
-constexpr double kFailureSeconds = 0.05;  // one failure just now
-constexpr double kFullSeconds = 2;
-constexpr double kCrowdingSeconds = 0.02;  // a full batch makes each token later
-// So much more in hand than was known is no reason to look elsewhere: another question costs 2 ms and a
-// wake-up.
-constexpr double kWorthAsking = 0.01;
-constexpr double kInSlotSmoothing = 0.1;
-constexpr size_t kRanksThatCount = 4;  // an engine further down is as far from home as this
+constexpr uint64_t kMinTokensToFetch = 48;
+constexpr uint64_t kMinTokensToStore = 512;
+constexpr double kFailurePenaltySeconds = 0.05;  // for one failure just now
+constexpr double kFullEnginePenaltySeconds = 2;
+constexpr double kCrowdingPenaltySeconds = 0.02;  // a full batch delays each token
+// Load beyond the known one that is tolerated before another engine is tried: each further reservation
+// request costs 2 ms and a wake-up.
+constexpr double kLoadMarginSeconds = 0.01;
+constexpr double kSmoothingFactor = 0.1;
+constexpr size_t kMaxHomeRank = 4;  // engines of a higher rank cost the same
 
 bool hasFreeSlot(const Server& server, absl::Time now) {
   return server.load(now).running < server.entry.slots;
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-// The shared parts of a prompt under one version's salt, and who keeps them.
+// The shared parts of a prompt under one version's salt, and the engines that cache them.
 struct EnginePlacement::Chain {
   std::string salt;
   std::vector<BlockKey> keys;
@@ -51,11 +51,11 @@
   uint64_t all_tokens = 0;
   prefix::TrunkView view;
 
-  uint64_t tokensOf(uint32_t parts) const { return parts == 0 ? 0 : tokens_up_to[parts - 1]; }
-  uint64_t keptAt(EngineSlot engine) const {
+  uint64_t tokensOfFirst(uint32_t parts) const { return parts == 0 ? 0 : tokens_up_to[parts - 1]; }
+  uint64_t cachedTokensAt(EngineSlot engine) const {
     for (const prefix::TrunkView::Holder& holder : view.holders) {
       if (holder.engine == engine) {
-        return tokensOf(std::min<uint32_t>(holder.certain_blocks, static_cast<uint32_t>(keys.size())));
+        return tokensOfFirst(std::min<uint32_t>(holder.certain_blocks, static_cast<uint32_t>(keys.size())));
       }
     }
     return 0;
@@ -65,20 +65,20 @@
 struct EnginePlacement::Candidate {
   ServerDirectory::ServerPointer server;
   WeightsVersion version;
-  uint64_t at_home = 0;  // weight for the request's chain: the greatest is its home
-  uint64_t drawn = 0;    // weight in this choice's draw
+  uint64_t home_weight = 0;    // rendezvous weight for the request's chain: the greatest is its home
+  uint64_t random_weight = 0;  // random for each choice
 };
 
-struct EnginePlacement::Weighed {
-  double seconds = std::numeric_limits<double>::infinity();  // with all that counts against the engine
-  double own = 0;   // of it: until the first piece, but for what is in hand
-  double load = 0;  // of it: what is in hand
+struct EnginePlacement::CostEstimate {
+  double seconds = std::numeric_limits<double>::infinity();  // including all penalties
+  double own = 0;   // until the first piece, without waiting for other requests
+  double load = 0;  // wait for other requests
   absl::Duration pause;
 };
 
-// What besides the chain makes an engine cheap or dear for a request.
-struct EnginePlacement::Circumstances {
-  size_t rank = 0;               // among the chain's engines
+// Inputs to a candidate's cost other than the chain.
+struct EnginePlacement::CandidateContext {
+  size_t rank = 0;               // in the chain's ranking of engines
   bool has_old_weights = false;  // the request is worth less there
 };
 
@@ -110,49 +110,52 @@
   return chain;
 }
 
-// What it counts to place a chain of so many tokens with the engine of that rank, in seconds.
-double EnginePlacement::awayFromHome(uint64_t shared_tokens, size_t rank) const {
+// Cost in seconds of placing a chain with `shared_tokens` on the engine of that rank.
+double EnginePlacement::homeRankCost(uint64_t shared_tokens, size_t rank) const {
   if (!settings_.switches.home_rank) {
     return 0;
   }
   const double displaced = settings_.switches.home_by_size ? settings_.displaced_prefill_weight : 0;
   const absl::Duration step =
       std::max(settings_.home_rank_penalty, settings_.prefill_per_token * shared_tokens * displaced);
-  return absl::ToDoubleSeconds(step) * static_cast<double>(std::min(rank, kRanksThatCount));
+  return absl::ToDoubleSeconds(step) * static_cast<double>(std::min(rank, kMaxHomeRank));
 }
 
-EnginePlacement::Weighed EnginePlacement::weigh(const ServerDirectory::ServerPointer& server,
-                                                const Chain& chain, const PlacementRequest& request,
-                                                const Circumstances& circumstances, absl::Time now) const {
-  Weighed result;
-  const uint64_t kept = chain.keptAt(server->slot);
-  uint64_t elsewhere = 0;
+EnginePlacement::CostEstimate EnginePlacement::estimateCost(const ServerDirectory::ServerPointer& server,
+                                                            const Chain& chain,
+                                                            const PlacementRequest& request,
+                                                            const CandidateContext& context,
+                                                            absl::Time now) const {
+  CostEstimate result;
+  const uint64_t cached = chain.cachedTokensAt(server->slot);
+  uint64_t cached_elsewhere = 0;
   for (const prefix::TrunkView::Holder& holder : chain.view.holders) {
-    elsewhere = std::max(elsewhere, chain.tokensOf(std::min<uint32_t>(
-                                        holder.certain_blocks, static_cast<uint32_t>(chain.keys.size()))));
+    cached_elsewhere =
+        std::max(cached_elsewhere, chain.tokensOfFirst(std::min<uint32_t>(
+                                       holder.certain_blocks, static_cast<uint32_t>(chain.keys.size()))));
   }
-  const uint64_t fetched = elsewhere > kept ? elsewhere - kept : 0;
-  const uint64_t shared_read = chain.shared_tokens - kept - fetched;
+  const uint64_t fetched = cached_elsewhere > cached ? cached_elsewhere - cached : 0;
+  const uint64_t shared_prefill = chain.shared_tokens - cached - fetched;
   const EngineCapability capability = capabilityOf(*server, now);
   result.pause = capability.pause;
   const double prefill = absl::ToDoubleSeconds(capability.read_per_token);
-  const ServerLoad in_hand = server->load(now);
-  result.load = loadSeconds(in_hand, server->entry.slots, capability);
+  const ServerLoad load = server->load(now);
+  result.load = loadSeconds(load, server->entry.slots, capability);
   double seconds = prefill * static_cast<double>(chain.all_tokens - chain.shared_tokens);
   if (fetched > 0) {
     seconds += absl::ToDoubleSeconds(settings_.transfer_overhead + settings_.transfer_per_token * fetched);
   }
-  result.own = seconds + prefill * static_cast<double>(shared_read);
+  result.own = seconds + prefill * static_cast<double>(shared_prefill);
   seconds += result.load;
-  seconds += prefill * settings_.shared_prefill_weight * static_cast<double>(shared_read);
-  seconds += awayFromHome(chain.shared_tokens, circumstances.rank);
+  seconds += prefill * settings_.shared_prefill_weight * static_cast<double>(shared_prefill);
+  seconds += homeRankCost(chain.shared_tokens, context.rank);
   seconds += server->entry.zone == settings_.zone ? 0 : absl::ToDoubleSeconds(settings_.other_zone_penalty);
-  seconds += circumstances.has_old_weights ? absl::ToDoubleSeconds(settings_.old_weights_penalty) : 0;
-  seconds += kFailureSeconds * server->failureScore(now);
+  seconds += context.has_old_weights ? absl::ToDoubleSeconds(settings_.old_weights_penalty) : 0;
+  seconds += kFailurePenaltySeconds * server->failureScore(now);
   if (settings_.switches.learned_speed) {
-    const double reading = prefill * static_cast<double>(chain.all_tokens - kept - fetched);
-    seconds += settings_.concurrent_prefill_weight * reading * in_hand.running;
-    seconds += latenessByPauses(request, capability);
+    const double prefill_seconds = prefill * static_cast<double>(chain.all_tokens - cached - fetched);
+    seconds += settings_.concurrent_prefill_weight * prefill_seconds * load.running;
+    seconds += pauseCost(request, capability);
   }
   result.seconds = seconds;
   return result;
@@ -162,47 +165,48 @@
   if (settings_.switches.learned_speed) {
     return server.capability.at(now);
   }
-  EngineCapability alike;
-  alike.read_per_token = settings_.prefill_per_token;
-  return alike;
+  EngineCapability uniform;
+  uniform.read_per_token = settings_.prefill_per_token;
+  return uniform;
 }
 
-// A stream with a pause too long is worth as little as one whose first piece comes late: its chance of that
-// counts as so much of the time that the first piece may take.
-double EnginePlacement::latenessByPauses(const PlacementRequest& request,
-                                         const EngineCapability& capability) const {
+// A stream with too long a pause is worth as little as one whose first piece is late, so the probability of
+// such a pause is weighted with the time allowed for the first piece.
+double EnginePlacement::pauseCost(const PlacementRequest& request, const EngineCapability& capability) const {
   const bool has_targets = request.allowed_pause != absl::InfiniteDuration() &&
                            request.allowed_first_piece != absl::InfiniteDuration();
   if (!has_targets) {
     return 0;
   }
   double chance = capability.probabilityOfPauseOver(request.allowed_pause);
-  if (request.output_tokens > 0 && tokens_of_streams_ > 0) {
-    // Of the streams that told: a shorter one meets fewer of the moments that make pauses.
-    chance *= std::min(1.0, static_cast<double>(request.output_tokens) / tokens_of_streams_);
+  if (request.output_tokens > 0 && mean_stream_tokens_ > 0) {
+    // The probability is that of the observed streams; a shorter stream meets fewer causes of pauses.
+    chance *= std::min(1.0, static_cast<double>(request.output_tokens) / mean_stream_tokens_);
   }
   return chance * absl::ToDoubleSeconds(request.allowed_first_piece);
 }
 
 void EnginePlacement::notePauses(uint64_t output_tokens) {
   const auto tokens = static_cast<double>(output_tokens);
-  tokens_of_streams_ += tokens_of_streams_ == 0 ? tokens : (tokens - tokens_of_streams_) * kInSlotSmoothing;
+  mean_stream_tokens_ +=
+      mean_stream_tokens_ == 0 ? tokens : (tokens - mean_stream_tokens_) * kSmoothingFactor;
 }
 
-double EnginePlacement::loadSeconds(const ServerLoad& in_hand, uint32_t slots,
+double EnginePlacement::loadSeconds(const ServerLoad& load, uint32_t slots,
                                     const EngineCapability& capability) const {
-  const uint32_t places = std::max<uint32_t>(slots, 1);
-  const uint32_t waiting = in_hand.running + 1 - std::min(in_hand.running + 1, places);
-  const absl::Duration for_slot = std::max(in_slot_ * waiting / places, settings_.wait_for_slot * waiting);
+  const uint32_t slot_count = std::max<uint32_t>(slots, 1);
+  const uint32_t waiting = load.running + 1 - std::min(load.running + 1, slot_count);
+  const absl::Duration for_slot =
+      std::max(mean_slot_time_ * waiting / slot_count, settings_.wait_for_slot * waiting);
   double seconds =
-      absl::ToDoubleSeconds(capability.read_per_token) * static_cast<double>(in_hand.prefill_tokens);
+      absl::ToDoubleSeconds(capability.read_per_token) * static_cast<double>(load.prefill_tokens);
   seconds += absl::ToDoubleSeconds(for_slot);
-  seconds += in_hand.running >= places * settings_.full_requests_per_slot ? kFullSeconds : 0;
-  seconds += kCrowdingSeconds * in_hand.running / places;
+  seconds += load.running >= slot_count * settings_.full_requests_per_slot ? kFullEnginePenaltySeconds : 0;
+  seconds += kCrowdingPenaltySeconds * load.running / slot_count;
   return seconds;
 }
 
-size_t EnginePlacement::candidatesAtMost() const {
+size_t EnginePlacement::maxCandidates() const {
   if (!settings_.switches.limit_candidates) {
     return std::numeric_limits<size_t>::max();
   }
@@ -211,9 +215,9 @@
                                           : settings_.random_candidates);
 }
 
-// Those that take the request, the first ones of its chain before all others, then some by a draw of this
-// choice alone. Every node ranks a chain's engines alike, whatever their versions.
-std::vector<EnginePlacement::Candidate> EnginePlacement::candidatesFor(
+// Engines that can take the request: the first ones of its chain's ranking, then some in an order that is
+// random for each choice. Every node ranks a chain's engines alike, whatever their versions.
+std::vector<EnginePlacement::Candidate> EnginePlacement::rankCandidates(
     const PlacementRequest& request, const std::vector<ServerDirectory::ServerPointer>& engines,
     const std::vector<uint64_t>& excluded, WeightsVersion required, absl::Time now) {
   const Chain unversioned = chainOf(request, WeightsVersion(), now);
@@ -236,9 +240,10 @@
   const auto drawn = behind_home(settings_.home_candidates);
   std::partial_sort(
       candidates.begin(), drawn, candidates.end(),
-      [](const Candidate& left, const Candidate& right) { return left.at_home > right.at_home; });
-  std::partial_sort(drawn, behind_home(candidatesAtMost()), candidates.end(),
-                    [](const Candidate& left, const Candidate& right) { return left.drawn > right.drawn; });
+      [](const Candidate& left, const Candidate& right) { return left.home_weight > right.home_weight; });
+  std::partial_sort(
+      drawn, behind_home(maxCandidates()), candidates.end(),
+      [](const Candidate& left, const Candidate& right) { return left.random_weight > right.random_weight; });
   return candidates;
 }
 
@@ -246,28 +251,28 @@
     const PlacementRequest& request, const std::vector<ServerDirectory::ServerPointer>& engines,
     const ServerDirectory& directory, const std::vector<CacheStoreTraits>& cache_stores,
     const std::vector<uint64_t>& excluded, WeightsVersion required, absl::Time now) {
-  const std::vector<Candidate> candidates = candidatesFor(request, engines, excluded, required, now);
+  const std::vector<Candidate> candidates = rankCandidates(request, engines, excluded, required, now);
   absl::btree_map<WeightsVersion, Chain> chains;
   const Candidate* best = nullptr;
-  Weighed least;
-  double second_best = least.seconds;
+  CostEstimate lowest;
+  double second_best = lowest.seconds;
   for (size_t rank = 0; rank < candidates.size(); ++rank) {
-    if (rank >= candidatesAtMost() && hasFreeSlot(*best->server, now)) {
+    if (rank >= maxCandidates() && hasFreeSlot(*best->server, now)) {
       break;
     }
     const Candidate& candidate = candidates[rank];
     if (!chains.contains(candidate.version)) {
       chains.emplace(candidate.version, chainOf(request, candidate.version, now));
     }
-    const Circumstances circumstances{rank, candidate.version < request.wanted};
-    const Weighed weighed =
-        weigh(candidate.server, chains.at(candidate.version), request, circumstances, now);
-    if (best == nullptr || weighed.seconds < least.seconds) {
-      second_best = least.seconds;
-      least = weighed;
+    const CandidateContext context{rank, candidate.version < request.wanted};
+    const CostEstimate estimate =
+        estimateCost(candidate.server, chains.at(candidate.version), request, context, now);
+    if (best == nullptr || estimate.seconds < lowest.seconds) {
+      second_best = lowest.seconds;
+      lowest = estimate;
       best = &candidate;
     } else {
-      second_best = std::min(second_best, weighed.seconds);
+      second_best = std::min(second_best, estimate.seconds);
     }
   }
   if (best == nullptr) {
@@ -276,53 +281,54 @@
   EngineChoice choice;
   choice.server = best->server;
   choice.version = best->version;
-  choice.service_seconds = least.own;
-  choice.load_seconds = least.load;
-  choice.pause = least.pause;
-  choice.max_load_seconds = least.load + std::max(second_best - least.seconds, kWorthAsking);
-  chooseMemory(chains.at(best->version), directory, cache_stores, now, choice);
+  choice.service_seconds = lowest.own;
+  choice.load_seconds = lowest.load;
+  choice.pause = lowest.pause;
+  choice.max_load_seconds = lowest.load + std::max(second_best - lowest.seconds, kLoadMarginSeconds);
+  chooseCacheLocations(chains.at(best->version), directory, cache_stores, now, choice);
   return choice;
 }
 
-// Where the engine finds what it lacks of the chain, and where what it reads is kept besides.
-void EnginePlacement::chooseMemory(const Chain& chain, const ServerDirectory& directory,
-                                   const std::vector<CacheStoreTraits>& cache_stores, absl::Time now,
-                                   EngineChoice& choice) const {
+// Sets where the engine fetches what it lacks of the chain, and where its prefilled parts are stored.
+void EnginePlacement::chooseCacheLocations(const Chain& chain, const ServerDirectory& directory,
+                                           const std::vector<CacheStoreTraits>& cache_stores, absl::Time now,
+                                           EngineChoice& choice) const {
   choice.salt = chain.salt;
   choice.shared_keys = chain.keys;
-  choice.cached_tokens = chain.keptAt(choice.server->slot);
+  choice.cached_tokens = chain.cachedTokensAt(choice.server->slot);
   choice.is_new_placement = choice.cached_tokens < chain.shared_tokens;
   uint64_t most = choice.cached_tokens;
   for (const prefix::TrunkView::Holder& holder : chain.view.holders) {
     const ServerDirectory::ServerPointer source = directory.bySlot(holder.engine);
-    const uint64_t kept = chain.keptAt(holder.engine);
+    const uint64_t cached = chain.cachedTokensAt(holder.engine);
     if (settings_.switches.fetch_from_engines && source != nullptr && source != choice.server &&
-        source->is_listed && now >= source->ejected_until && kept >= most + kFewestTokensToFetch) {
-      most = kept;
+        source->is_listed && now >= source->ejected_until && cached >= most + kMinTokensToFetch) {
+      most = cached;
       choice.cache_source = source->entry.address;
     }
   }
   choice.fetched_tokens = most - choice.cached_tokens;
   choice.read_tokens = chain.all_tokens - most;
   choice.shared_tokens = chain.shared_tokens;
-  const bool is_stored = settings_.switches.cache_stores && chain.shared_tokens >= kFewestTokensToStore;
-  const CacheStoreTraits* const cache_store = is_stored ? storeOf(chain, cache_stores) : nullptr;
-  // An engine may have given up what it is believed to keep, and does so sooner than a store, which is not
-  // crowded by requests' own parts; a miss at the store costs next to nothing. So the store is the source
-  // before any engine. An engine sends all that it reads to the target, the request's own part as well: named
-  // for every request, it would crowd the store with parts that nobody asks for again, and fill its link.
+  const bool is_stored = settings_.switches.cache_stores && chain.shared_tokens >= kMinTokensToStore;
+  const CacheStoreTraits* const cache_store = is_stored ? cacheStoreFor(chain, cache_stores) : nullptr;
+  // The store is preferred to any engine as a source: an engine may have evicted what it is believed to
+  // cache, and evicts sooner than a store, which holds fewer parts that belong to one request; a miss at the
+  // store costs almost nothing. An engine sends all that it prefills to the target, including the request's
+  // own part. A target for every request would fill the store and its link with parts that are never
+  // requested again.
   if (cache_store != nullptr) {
     choice.cache_source = cache_store->address;
-    const bool is_kept = most == chain.shared_tokens;
-    if (!is_kept || !settings_.switches.store_only_uncached) {
+    const bool is_fully_cached = most == chain.shared_tokens;
+    if (!is_fully_cached || !settings_.switches.store_only_uncached) {
       choice.cache_target = cache_store->address;
     }
   }
 }
 
-// Each chain has one store, so that the stores together keep as many chains as they have room for.
-const CacheStoreTraits* EnginePlacement::storeOf(const Chain& chain,
-                                                 const std::vector<CacheStoreTraits>& stores) {
+// Each chain is assigned to one store, so that the stores together hold as many chains as possible.
+const CacheStoreTraits* EnginePlacement::cacheStoreFor(const Chain& chain,
+                                                       const std::vector<CacheStoreTraits>& stores) {
   if (stores.empty() || chain.keys.empty()) {
     return nullptr;
   }
@@ -340,8 +346,8 @@
   return best;
 }
 
-void EnginePlacement::noteServed(absl::Duration in_slot) {
-  in_slot_ += (in_slot - in_slot_) * kInSlotSmoothing;
+void EnginePlacement::noteServed(absl::Duration slot_time) {
+  mean_slot_time_ += (slot_time - mean_slot_time_) * kSmoothingFactor;
 }
 
 void EnginePlacement::noteCached(EngineSlot engine, const std::vector<BlockKey>& keys, absl::Time now) {
--- a/src/forwarding/event_splitter.cc
+++ b/src/forwarding/event_splitter.cc
@@ -7,7 +7,7 @@
 namespace quincewick::forwarding {
 namespace {
 
-// The end of the first event: just behind its empty line. npos: there is none yet.
+// The position after the first event's empty line; npos if the event is incomplete.
 size_t endOfEvent(std::string_view bytes) {
   size_t line_begin = 0;
   while (true) {
@@ -47,19 +47,19 @@
 }  // namespace
 
 std::vector<StreamEvent> EventSplitter::take(std::string_view bytes) {
-  rest_.append(bytes);
+  remainder_.append(bytes);
   std::vector<StreamEvent> events;
   size_t begin = 0;
-  while (begin < rest_.size()) {
-    const size_t size = endOfEvent(std::string_view(rest_).substr(begin));
+  while (begin < remainder_.size()) {
+    const size_t size = endOfEvent(std::string_view(remainder_).substr(begin));
     if (size == std::string_view::npos) {
       break;
     }
-    const std::string event = rest_.substr(begin, size);
+    const std::string event = remainder_.substr(begin, size);
     events.push_back({event, idOf(event)});
     begin += size;
   }
-  rest_.erase(0, begin);
+  remainder_.erase(0, begin);
   return events;
 }
 
--- a/src/forwarding/event_splitter.h
+++ b/src/forwarding/event_splitter.h
@@ -1,4 +1,4 @@
-// Cuts a stream's bytes into whole events, each with its id; payloads are opaque.
+// Splits the bytes of an event stream into complete events with their ids; payloads are opaque.
 #pragma once
 
 #include <cstdint>
@@ -10,19 +10,19 @@
 namespace quincewick::forwarding {
 
 struct StreamEvent {
-  std::string bytes;           // as they came, with the empty line that ends the event
-  std::optional<uint64_t> id;  // of its id line, where that is a whole number
+  std::string bytes;           // unchanged, with the empty line that ends the event
+  std::optional<uint64_t> id;  // from its id line, if that is an integer
 };
 
 class EventSplitter {
  public:
   // Returns the events that `bytes` completes.
   std::vector<StreamEvent> take(std::string_view bytes);
-  // What came after the last whole event.
-  const std::string& rest() const { return rest_; }
+  // The bytes after the last complete event.
+  const std::string& rest() const { return remainder_; }
 
  private:
-  std::string rest_;
+  std::string remainder_;
 };
 
 }  // namespace quincewick::forwarding
--- a/src/forwarding/occupancy_tracker.h
+++ b/src/forwarding/occupancy_tracker.h
@@ -1,11 +1,11 @@
-// What is in hand at the engines whose books this gateway keeps: every request that any gateway sends there
-// is reserved here first, and taken out when it ends. Pure; `now` never goes back.
+// Requests in flight at the engines whose occupancy this gateway owns. Every request that any gateway sends
+// to such an engine is reserved here first and released when it ends. Does no I/O; `now` never goes back.
 //
-// Who keeps the books sees each request's beginning, first piece and end, and so learns what the engine can
-// do.
+// The owner sees each request's start, first piece and end, and estimates the engine's capability from them.
 //
-// What gateways tell each other in turns is up to a second old, and within a second they all would send to
-// the engine that looked emptiest. A reservation is exact. It lapses by itself, for its gateway may die.
+// Loads that gateways report to each other are up to a second old, and within a second all gateways would
+// send to the engine that looked least loaded. Reservations are exact. They expire, since their gateway may
+// crash.
 #pragma once
 
 #include <absl/container/btree_map.h>
@@ -22,49 +22,53 @@
 
 class OccupancyTracker {
  public:
-  // A gateway's request at an engine, by the gateway's own number.
+  // A gateway's request at an engine; the gateway assigns `number`.
   struct ReservationId {
     uint64_t engine = 0;  // its identity hash
     NodeId gateway;
     uint64_t number = 0;
   };
 
-  // Begins the books with what another gateway told of the engine; nothing where they are kept already.
-  void begin(uint64_t engine, const EngineCapability& told, absl::Time now);
-  // What is in hand at the engine.
+  // Starts to track the engine with the capability that another gateway reported. No effect on an engine that
+  // is tracked already.
+  void begin(uint64_t engine, const EngineCapability& initial, absl::Time now);
+  // The load in flight at the engine.
   ServerLoad at(uint64_t engine, absl::Time now);
-  // Whether they have been kept for as long as nearly all requests take.
+  // Whether the engine has been tracked for longer than nearly all requests take, so that requests sent
+  // before are over.
   bool isFullyObserved(uint64_t engine, absl::Time now) const;
-  // The request is sent there; its prompt's tokens are still to be read. `waits_for_slot`: the engine's are
-  // all taken, so the time until it is read says nothing of the engine's speed.
-  void reserve(const ReservationId& name, uint64_t prefill_tokens, bool waits_for_slot, absl::Time now);
-  // Its first piece came: it was read.
-  void notePrefillDone(const ReservationId& name, absl::Time now);
-  // It ended. `longest_pause`: between its pieces; zero where it had none.
-  void release(const ReservationId& name, absl::Duration longest_pause, absl::Time now);
-  // What the engine can do, from what was read and ended.
+  // The request is sent to the engine; `prefill_tokens` are still to be prefilled. `waits_for_slot`: all
+  // slots are taken, so the time until its first piece does not measure the engine's speed.
+  void reserve(const ReservationId& id, uint64_t prefill_tokens, bool waits_for_slot, absl::Time now);
+  // Its first piece came, so its prefill is done.
+  void notePrefillDone(const ReservationId& id, absl::Time now);
+  // It ended. `longest_pause`: between its pieces; zero if there was none.
+  void release(const ReservationId& id, absl::Duration longest_pause, absl::Time now);
+  // The engine's capability, estimated from finished prefills and requests.
   EngineCapability capability(uint64_t engine, absl::Time now) const;
-  // The same with what is overdue just now: for a place that is asked for now, and nothing later.
+  // The given capability, slowed down by prefills that are overdue now. Valid only for a reservation at
+  // `now`.
   EngineCapability withOverdue(uint64_t engine, EngineCapability capability, absl::Time now) const;
 
  private:
   struct Reservation {
     uint64_t prefill_tokens = 0;
-    uint64_t tokens_ahead = 0;  // in hand when it began, its own among them
-    bool tells_speed = false;
-    absl::Time begun;
-    absl::Time lapses;
+    uint64_t tokens_ahead = 0;  // to be prefilled when it was reserved, its own among them
+    bool measures_speed = false;
+    absl::Time reserved_at;
+    absl::Time expires_at;
   };
   struct Engine {
     absl::btree_map<std::pair<NodeId, uint64_t>, Reservation> reservations;
     ServerLoad sum;
     CapabilityEstimator capability;
-    absl::Time last_read_begun = absl::InfinitePast();  // when the latest one that is read had begun
-    absl::Time begun;
-    absl::Time looked_through = absl::InfinitePast();
+    // When the latest reservation whose prefill is done was made.
+    absl::Time last_prefill_reserved_at = absl::InfinitePast();
+    absl::Time tracked_since;
+    absl::Time last_expiry_check = absl::InfinitePast();
   };
 
-  static void dropLapsed(Engine& engine, absl::Time now);
+  static void dropExpired(Engine& engine, absl::Time now);
 
   absl::flat_hash_map<uint64_t, Engine> engines_;
 };
--- a/src/forwarding/request_facts.h
+++ b/src/forwarding/request_facts.h
@@ -1,4 +1,4 @@
-// What messages declare of themselves, apart from how they spell it.
+// Contents of messages, independent of the external protocol's spelling.
 #pragma once
 
 #include <absl/time/time.h>
@@ -13,39 +13,38 @@
 
 namespace quincewick::forwarding {
 
-// A part of a prompt: requests that name the same ones from the start share what was read of them.
+// A part of a prompt. Requests with the same leading parts share their cached prefill.
 struct PromptPart {
   std::string id;
   uint64_t tokens = 0;
 };
 
 struct RequestFacts {
-  std::string attempt_id;  // of one try of the caller; empty: none was given
+  std::string attempt_id;  // one attempt of the caller; empty: none given
   std::optional<absl::Duration> deadline;
   std::optional<std::string> last_event_id;
   std::optional<std::string> key;  // the caller's bearer key
   ModelName model;                 // empty: no prompt is declared
   std::vector<PromptPart> prompt;
-  uint64_t output_tokens = 0;  // the most that are generated
-  std::optional<uint64_t>
-      declared_tokens;  // of the prompt and the answer together; nothing: none are declared
+  uint64_t output_tokens = 0;               // maximum to be generated
+  std::optional<uint64_t> declared_tokens;  // of prompt and response together; nothing: not declared
 };
 
 struct ResponseFacts {
   std::string attempt_id;
-  bool is_signed = false;        // by the server that made it
+  bool is_signed = false;        // by the server that created it
   bool is_not_run = false;       // the server says that it did not run the request
   bool is_other_server = false;  // another incarnation than the expected one, or another weights version
   std::optional<std::string> server_id;
   std::optional<WeightsVersion> weights_version;
-  std::optional<absl::Duration> idle_limit;  // how long the server keeps an idle connection
-  std::optional<double> rate_limit;  // requests a second that the server takes from all gateways together
-  bool is_leaving = false;           // the server says that it leaves
-  std::optional<absl::Duration> back_off;  // it turned the request away and wants none from here for so long
-  std::vector<std::string> unreadable_fields;  // names of those whose values can't be read
+  std::optional<absl::Duration> idle_limit;    // how long the server keeps an idle connection
+  std::optional<double> rate_limit;            // requests a second from all gateways together
+  bool is_leaving = false;                     // the server says that it drains
+  std::optional<absl::Duration> back_off;      // requested by a server that rejected the request
+  std::vector<std::string> unreadable_fields;  // names of fields with malformed values
 };
 
-// What this project tells a server along with a request.
+// What the router sends to a server along with a request.
 struct SendFacts {
   std::optional<absl::Duration> time_left;
   std::string server_id;
@@ -56,7 +55,7 @@
   std::optional<std::string> cache_salt;
   std::optional<WeightsVersion> weights_version;
   std::optional<Address> cache_source;  // where to fetch what the engine lacks
-  std::optional<Address> cache_target;  // where to keep what it reads
+  std::optional<Address> cache_target;  // where to store what it prefills
 };
 
 }  // namespace quincewick::forwarding
--- a/src/forwarding/request_identity.cc
+++ b/src/forwarding/request_identity.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-// Each part's hash is the next one's seed: what stands in one part can't pass for another.
+// Each part's hash seeds the next, so that moving bytes between parts changes the result.
 RequestIdentity identityOf(std::string_view method, std::string_view target, const TenantId& caller,
                            std::string_view body) {
   const uint64_t seed = hashOf(caller.value(), hashOf(target, hashOf(method, 0)));
@@ -33,7 +33,7 @@
       text.size() == kDigits &&
       absl::SimpleHexAtoi(absl::string_view(text.data(), kDigits / 2), &identity.high) &&
       absl::SimpleHexAtoi(absl::string_view(text.data() + kDigits / 2, kDigits / 2), &identity.low);
-  // Reading alone would take signs, blanks and capitals, too.
+  // SimpleHexAtoi also accepts signs, whitespace and upper case.
   return is_read && printIdentity(identity) == text ? std::optional(identity) : std::nullopt;
 }
 
--- a/src/forwarding/request_identity.h
+++ b/src/forwarding/request_identity.h
@@ -1,5 +1,5 @@
-// Names a request by what its caller asked for, so that it is known again when it comes another time: under
-// another attempt's id, with other fields, at another gateway.
+// Identifies a request by its content, so that it is recognized when it comes again: with another attempt id
+// or other header fields, or at another gateway.
 #pragma once
 
 #include <cstdint>
@@ -13,9 +13,9 @@
 
 namespace quincewick::forwarding {
 
-// A hash of 128 bits: among a million different requests two have the same one with a probability below
-// 10^-26. It is not made to withstand a caller who knows another tenant's whole request and looks for a body
-// of its own with the same hash.
+// A hash of 128 bits: the probability of a collision among a million different requests is below 10^-26. It
+// is not collision-resistant against a caller who knows another tenant's whole request and searches for a
+// body with the same hash.
 struct RequestIdentity {
   uint64_t high = 0;
   uint64_t low = 0;
@@ -36,13 +36,13 @@
   }
 };
 
-// `caller`: the tenant; empty where a route needs no key.
+// `caller`: the tenant; empty if the route needs no key.
 RequestIdentity identityOf(std::string_view method, std::string_view target, const TenantId& caller,
                            std::string_view body);
 
 // 32 hexadecimal digits.
 std::string printIdentity(const RequestIdentity& identity);
-// Nothing where the text is not what printIdentity writes.
+// Returns nothing unless `text` is exactly what printIdentity writes.
 std::optional<RequestIdentity> parseIdentity(std::string_view text);
 
 }  // namespace quincewick::forwarding
--- a/src/forwarding/retry_budget.cc
+++ b/src/forwarding/retry_budget.cc
@@ -6,65 +6,65 @@
 namespace quincewick::forwarding {
 namespace {
 
-// Nodes that there may be for each that is known: some join, and some were not heard of yet.
-constexpr double kNodesUnknown = 1.6;
+// Assumed nodes for each known one, since some join and some have not been discovered yet.
+constexpr double kUnknownNodesFactor = 1.6;
 
 }  // namespace
 
 void RetryBudget::noteNodes(size_t known) {
-  most_nodes_known_ = std::max(most_nodes_known_, known);
+  max_known_nodes_ = std::max(max_known_nodes_, known);
 }
 
 double RetryBudget::capacity() const {
-  if (most_nodes_known_ == 0) {
+  if (max_known_nodes_ == 0) {
     return 0;
   }
-  const double may_be = kNodesUnknown * static_cast<double>(most_nodes_known_);
-  return settings_.constant / std::max(may_be, static_cast<double>(settings_.minimum_nodes));
+  const double assumed_nodes = kUnknownNodesFactor * static_cast<double>(max_known_nodes_);
+  return settings_.constant / std::max(assumed_nodes, static_cast<double>(settings_.minimum_nodes));
 }
 
 RetryBudget::Bucket& RetryBudget::bucketOf(const ServiceName& service) {
   const auto [place, is_new] = buckets_.try_emplace(service);
   if (is_new && settings_.site_is_new) {
-    place->second.held = capacity();
+    place->second.tokens = capacity();
   }
   return place->second;
 }
 
 void RetryBudget::noteRequest(const ServiceName& service) {
   Bucket& bucket = bucketOf(service);
-  bucket.held = std::min(bucket.held + settings_.ratio, capacity());
+  bucket.tokens = std::min(bucket.tokens + settings_.ratio, capacity());
 }
 
 double RetryBudget::left(const ServiceName& service) const {
   const auto found = buckets_.find(service);
-  return found == buckets_.end() ? 0 : std::min(found->second.held, capacity());
+  return found == buckets_.end() ? 0 : std::min(found->second.tokens, capacity());
 }
 
 double RetryBudget::minimumLeft() const {
   const auto fewest = std::min_element(
       buckets_.begin(), buckets_.end(),
-      [](const auto& one, const auto& other) { return one.second.held < other.second.held; });
+      [](const auto& one, const auto& other) { return one.second.tokens < other.second.tokens; });
   return fewest == buckets_.end() ? 0 : left(fewest->first);
 }
 
 bool RetryBudget::tryAcquireRetry(const ServiceName& service) {
   Bucket& bucket = bucketOf(service);
-  bucket.held = std::min(bucket.held, capacity());
-  if (bucket.held >= 1) {
-    bucket.held -= 1;
+  bucket.tokens = std::min(bucket.tokens, capacity());
+  if (bucket.tokens >= 1) {
+    bucket.tokens -= 1;
     return true;
   }
-  const bool never_holds_one = capacity() < 1;
-  return never_holds_one && repeatsByFraction(bucket);
+  const bool is_capacity_below_one = capacity() < 1;
+  return is_capacity_below_one && spendFraction(bucket);
 }
 
-// Spends what the bucket holds. The sum of all that was spent so passes a whole number now and then.
-bool RetryBudget::repeatsByFraction(Bucket& bucket) const {
-  const double before = bucket.spent_in_fractions + rounding_phase_;
-  bucket.spent_in_fractions += bucket.held;
-  bucket.held = 0;
-  return std::floor(bucket.spent_in_fractions + rounding_phase_) > std::floor(before);
+// Spends the whole bucket. Returns whether the sum of all spent fractions reaches another integer.
+bool RetryBudget::spendFraction(Bucket& bucket) const {
+  const double before = bucket.spent_fractions + rounding_phase_;
+  bucket.spent_fractions += bucket.tokens;
+  bucket.tokens = 0;
+  return std::floor(bucket.spent_fractions + rounding_phase_) > std::floor(before);
 }
 
 }  // namespace quincewick::forwarding
--- a/src/forwarding/retry_budget.h
+++ b/src/forwarding/retry_budget.h
@@ -1,12 +1,12 @@
-// This node's part of the site's budget of repeats: how many requests may be sent to a further server.
+// This node's part of the site's retry budget: how many requests may be sent to another server.
 //
-// For each service a bucket of leave, which a restart empties: each request of a caller adds the ratio, each
-// repeat takes one, and it holds no more than this node's part of the constant. In any window a node's
-// repeats are at most the ratio times its requests of that window and what its bucket held before, and all
-// buckets together hold no more than the constant. So the sum holds without a word between nodes, however
-// callers move and nodes stop, die, start anew and come. A window that each node counts for itself can't
-// give that: it gave leave for one request twice, 1,304 repeats where 1,127 were allowed (79 nodes that
-// were stopped in turn).
+// Each service has a token bucket that a restart empties. Each client request adds `ratio` tokens, each retry
+// takes one, and the bucket holds at most this node's part of `constant`. In any window a node's retries are
+// at most `ratio` times its requests of that window plus what its bucket held before, and all buckets
+// together hold at most `constant`. So the site's limit holds without communication between nodes, however
+// clients move and nodes stop, crash, restart and join. Per-node counting windows can't ensure this: one
+// request allowed retries in two windows, which gave 1,304 retries where 1,127 were allowed (79 nodes,
+// stopped in turn).
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -19,48 +19,50 @@
 namespace quincewick::forwarding {
 
 struct RetryBudgetSettings {
-  double ratio = 0.2;           // repeats for each request
-  double constant = 54;         // repeats of all nodes together in a window, whatever the requests
-  uint32_t minimum_nodes = 16;  // the site is taken to have at least so many
-  // All nodes start for the first time: nobody has sent a repeat yet, so buckets start full. Later a bucket
-  // starts empty, for the process before this one may have spent what it held.
+  double ratio = 0.2;           // retries for each request
+  double constant = 54;         // retries of all nodes together in a window, independent of requests
+  uint32_t minimum_nodes = 16;  // assumed for the site if fewer are known
+  // All nodes start for the first time: no retry was sent yet, so buckets start full. Otherwise a bucket
+  // starts empty, since the previous process may have spent its content.
   bool site_is_new = false;
 };
 
 class RetryBudget {
  public:
-  // `rounding_phase`: 0 to 1, drawn anew at each start. Where a bucket holds less than one repeat, it decides
-  // at which of its fractions this node may repeat: of many nodes as many do as the fractions add up to.
+  // `rounding_phase`: random from 0 to 1, different at each start. Where the capacity is below one retry, it
+  // decides at which spent fraction this node may retry, so that over many nodes the retries equal the sum of
+  // their fractions.
   RetryBudget(const RetryBudgetSettings& settings, double rounding_phase)
       : settings_(settings), rounding_phase_(rounding_phase) {}
 
-  // Takes other limits; what the buckets hold stays, as far as they may.
+  // Changes the limits; buckets keep their tokens up to the new capacity.
   void setSettings(const RetryBudgetSettings& settings) { settings_ = settings; }
-  // So many nodes are known, this one among them. Before the first call they count as beyond number.
+  // Sets the number of known nodes, including this one; the maximum counts. Before the first call the
+  // capacity is zero.
   void noteNodes(size_t known);
-  size_t nodesKnown() const { return most_nodes_known_; }
-  // A caller's request for the service.
+  size_t nodesKnown() const { return max_known_nodes_; }
+  // A client's request for the service.
   void noteRequest(const ServiceName& service);
-  // Whether one more repeat may be sent; it is counted if so.
+  // Takes a token for one retry. Returns false if there is none.
   bool tryAcquireRetry(const ServiceName& service);
-  // Repeats that the service's bucket holds.
+  // Retries left in the service's bucket.
   double left(const ServiceName& service) const;
-  // Of the service with the fewest; 0 before the first request.
+  // Retries left for the service with the fewest; 0 before the first request.
   double minimumLeft() const;
 
  private:
   struct Bucket {
-    double held = 0;
-    double spent_in_fractions = 0;
+    double tokens = 0;
+    double spent_fractions = 0;
   };
-  // The most that a bucket holds: this node's part of the constant.
+  // The maximum of a bucket's tokens: this node's part of the constant.
   double capacity() const;
   Bucket& bucketOf(const ServiceName& service);
-  bool repeatsByFraction(Bucket& bucket) const;
+  bool spendFraction(Bucket& bucket) const;
 
   RetryBudgetSettings settings_;
   double rounding_phase_;
-  size_t most_nodes_known_ = 0;
+  size_t max_known_nodes_ = 0;
   absl::flat_hash_map<ServiceName, Bucket> buckets_;
 };
 
--- a/src/forwarding/server_choice.cc
+++ b/src/forwarding/server_choice.cc
@@ -10,8 +10,8 @@
 
 constexpr double kUnknownLatencySeconds = 0.03;
 constexpr double kOtherZoneSeconds = 0.003;
-constexpr double kFailureWeight = 1.0;  // one failure just now counts as a server twice as slow
-constexpr double kTieBreak = 0.05;      // random share, so that nodes don't all take the same server
+constexpr double kFailureWeight = 1.0;  // one failure just now doubles the expected latency
+constexpr double kTieBreak = 0.05;      // random share, so that nodes don't all choose the same server
 
 double expectedSeconds(const Server& server, const ZoneName& own_zone, absl::Time now) {
   const double latency = server.latency_seconds > 0 ? server.latency_seconds : kUnknownLatencySeconds;
--- a/src/scheduling/urgency_levels.h
+++ b/src/scheduling/urgency_levels.h
@@ -1,10 +1,9 @@
-// Levels at which requests of one service wait for its engines: who goes first where there is too little
-// room.
+// Priority levels at which requests of one service wait for its engines.
 //
-// Each urgency that the operator's configuration gives the service has two levels, one after the other: for
-// what can still be in time, and for what is foretold to be late. So a late request gives way to the punctual
-// ones of its own and of more urgent classes, and never to a less urgent class. Urgencies beyond the levels
-// that engines know share the last two. Pure.
+// Each urgency that the operator's configuration gives the service has two adjacent levels: one for requests
+// that can still be in time, then one for those that are predicted to be late. So a late request yields to
+// punctual ones of its own and of more urgent classes, but never to a less urgent class. Urgencies beyond the
+// levels that engines support share the last two. Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,18 +13,19 @@
 
 class UrgencyLevels {
  public:
-  // Engines know levels 0 (first) to 9.
+  // Engines support levels 0 (served first) to 9.
   static constexpr uint32_t kLevels = 10;
 
   UrgencyLevels() = default;
-  // Of all urgencies that requests of the service may have, in any order, with repeats; 0 is the most urgent.
+  // `urgencies`: all that requests of the service may have, in any order, duplicates allowed; 0 is the most
+  // urgent.
   explicit UrgencyLevels(std::vector<uint32_t> urgencies);
 
-  // An urgency that isn't among them ranks behind those that are more urgent.
+  // An urgency that was not given ranks behind those that are more urgent.
   uint32_t levelOf(uint32_t urgency, bool is_late) const;
 
  private:
-  std::vector<uint32_t> urgencies_;  // rising, each once
+  std::vector<uint32_t> urgencies_;  // ascending, unique
 };
 
 }  // namespace quincewick::scheduling
--- a/tests/forwarding/attempt_ledger_test.cc
+++ b/tests/forwarding/attempt_ledger_test.cc
@@ -10,30 +10,30 @@
 
 constexpr int kUnavailable = 503;
 
-// What truly happened at the servers, kept apart from the ledger.
+// What happened at the servers, tracked independently of the ledger.
 struct Truth {
   uint32_t runs_possible = 0;
   uint32_t sent = 0;
 };
 
-// Ends that the request's attempts meet in turn, while the ledger allows a further one.
-Truth play(AttemptLedger& ledger, const std::vector<AttemptOutcome>& ends) {
+// Applies the outcomes of successive attempts while the ledger allows another one.
+Truth play(AttemptLedger& ledger, const std::vector<AttemptOutcome>& outcomes) {
   Truth truth;
-  for (const AttemptOutcome end : ends) {
+  for (const AttemptOutcome outcome : outcomes) {
     if (!ledger.mayRetry()) {
       break;
     }
-    if (end != AttemptOutcome::kNeverSent) {
+    if (outcome != AttemptOutcome::kNeverSent) {
       ledger.noteSent();
       ++truth.sent;
-      truth.runs_possible += end == AttemptOutcome::kRefused ? 0 : 1;
+      truth.runs_possible += outcome == AttemptOutcome::kRefused ? 0 : 1;
     }
-    ledger.noteOutcome(end);
+    ledger.noteOutcome(outcome);
   }
   return truth;
 }
 
-rc::Gen<std::vector<AttemptOutcome>> anyEnds() {
+rc::Gen<std::vector<AttemptOutcome>> arbitraryOutcomes() {
   return rc::gen::container<std::vector<AttemptOutcome>>(
       rc::gen::element(AttemptOutcome::kNeverSent, AttemptOutcome::kRefused, AttemptOutcome::kUnknown,
                        AttemptOutcome::kFailed));
@@ -42,7 +42,7 @@
 TEST_CASE("a request that may run once is never sent again after it may have run") {
   CHECK(rc::check([] {
     AttemptLedger ledger(false, *rc::gen::inRange(1U, 5U));
-    RC_ASSERT(play(ledger, *anyEnds()).runs_possible <= 1);
+    RC_ASSERT(play(ledger, *arbitraryOutcomes()).runs_possible <= 1);
   }));
 }
 
@@ -50,30 +50,30 @@
   CHECK(rc::check([] {
     const uint32_t max_attempts = *rc::gen::inRange(1U, 5U);
     AttemptLedger ledger(true, max_attempts);
-    RC_ASSERT(play(ledger, *anyEnds()).runs_possible <= max_attempts);
+    RC_ASSERT(play(ledger, *arbitraryOutcomes()).runs_possible <= max_attempts);
   }));
 }
 
-TEST_CASE("503 is given only where no server may have run the request") {
+TEST_CASE("the final status is 503 exactly if no server may have run the request") {
   CHECK(rc::check([] {
     AttemptLedger ledger(*rc::gen::arbitrary<bool>(), *rc::gen::inRange(1U, 4U));
-    const Truth truth = play(ledger, *anyEnds());
+    const Truth truth = play(ledger, *arbitraryOutcomes());
     const bool out_of_time = *rc::gen::arbitrary<bool>();
     RC_ASSERT((ledger.finalStatus(out_of_time) == kUnavailable) == (truth.runs_possible == 0));
   }));
 }
 
-TEST_CASE("attempts end, whatever the servers say") {
+TEST_CASE("the number of attempts is bounded, whatever the servers respond") {
   CHECK(rc::check([] {
     AttemptLedger ledger(true, *rc::gen::inRange(1U, 5U));
-    const auto ends = *rc::gen::container<std::vector<AttemptOutcome>>(
+    const auto outcomes = *rc::gen::container<std::vector<AttemptOutcome>>(
         64, rc::gen::element(AttemptOutcome::kNeverSent, AttemptOutcome::kRefused));
-    play(ledger, ends);
+    play(ledger, outcomes);
     RC_ASSERT(!ledger.mayRetry());
   }));
 }
 
-TEST_CASE("an attempt under way counts as one that may have run") {
+TEST_CASE("an attempt in flight counts as one that may have run") {
   AttemptLedger ledger(false, 1);
   CHECK(ledger.execution() == Execution::kNotRun);
   ledger.noteSent();
--- a/tests/forwarding/back_pressure_test.cc
+++ b/tests/forwarding/back_pressure_test.cc
@@ -10,7 +10,7 @@
 
 const absl::Time kNow = absl::UnixEpoch() + absl::Hours(1);
 
-TEST_CASE("the longest rest that a server asked for holds, counted from its answer") {
+TEST_CASE("the longest requested back-off holds, counted from its response") {
   BackPressure pressure;
   CHECK(pressure.noteBackOff(absl::Seconds(3), kNow));
   CHECK_FALSE(pressure.noteBackOff(absl::Seconds(1), kNow + absl::Seconds(1)));
@@ -21,14 +21,14 @@
   CHECK_FALSE(pressure.noteBackOff(absl::ZeroDuration(), kNow + absl::Seconds(5)));
 }
 
-TEST_CASE("a rest is obeyed for a bounded time, whatever its length") {
+TEST_CASE("a back-off period is bounded, whatever the server requests") {
   BackPressure pressure;
   CHECK(pressure.noteBackOff(absl::Hours(1'000'000), kNow));
   CHECK(pressure.isBackingOff(kNow + absl::Minutes(4)));
   CHECK_FALSE(pressure.isBackingOff(kNow + absl::Minutes(6)));
 }
 
-TEST_CASE("after a rest one request goes alone until an answer or a moment has passed") {
+TEST_CASE("after a back-off period one probe is sent until a response comes or the probe time has passed") {
   BackPressure pressure;
   pressure.noteBackOff(absl::Seconds(1), kNow);
   const absl::Time over = kNow + absl::Seconds(1);
@@ -42,7 +42,7 @@
   CHECK(pressure.availableAt() <= over + absl::Milliseconds(30));
 }
 
-TEST_CASE("an answer to what was sent before a rest doesn't end it") {
+TEST_CASE("a response to a request sent before the back-off period does not end it") {
   BackPressure pressure;
   pressure.noteBackOff(absl::Seconds(1), kNow);
   pressure.noteResponse(kNow + absl::Milliseconds(10));
@@ -51,19 +51,19 @@
   CHECK(pressure.availableAt() > kNow + absl::Seconds(1));
 }
 
-// Answers come in any order, requests go whenever the server may be chosen.
-TEST_CASE("no request is sent during any rest that was asked for, and a server is always free again") {
+// Responses come in any order; requests are sent whenever the server may be chosen.
+TEST_CASE("no request is sent during a requested back-off, and a server always becomes available again") {
   CHECK(rc::check([] {
     BackPressure pressure;
     absl::Time now = kNow;
-    absl::Time rests_until = absl::InfinitePast();
+    absl::Time back_off_until = absl::InfinitePast();
     for (int step = 0; step < 200; ++step) {
       now += absl::Milliseconds(*rc::gen::inRange(0, 400));
       switch (*rc::gen::inRange(0, 4)) {
         case 0: {
-          const absl::Duration rest = absl::Milliseconds(*rc::gen::inRange(0, 4000));
-          pressure.noteBackOff(rest, now);
-          rests_until = std::max(rests_until, now + rest);
+          const absl::Duration back_off = absl::Milliseconds(*rc::gen::inRange(0, 4000));
+          pressure.noteBackOff(back_off, now);
+          back_off_until = std::max(back_off_until, now + back_off);
           break;
         }
         case 1:
@@ -71,11 +71,11 @@
           break;
         default:
           if (now >= pressure.availableAt()) {
-            RC_ASSERT(now >= rests_until);
+            RC_ASSERT(now >= back_off_until);
             pressure.noteSent(now);
           }
       }
-      RC_ASSERT(pressure.availableAt() <= std::max(now, rests_until) + absl::Milliseconds(250));
+      RC_ASSERT(pressure.availableAt() <= std::max(now, back_off_until) + absl::Milliseconds(250));
     }
   }));
 }
--- a/tests/forwarding/crash_register_test.cc
+++ b/tests/forwarding/crash_register_test.cc
@@ -12,267 +12,269 @@
   return {number, number + 1};
 }
 
-// Ends one second after the other, each of another server.
+// Crashes at intervals of a second, each of another server.
 struct Fixture {
   CrashRegister crashes{kStart - absl::Minutes(10)};
   absl::Time now = kStart;
-  uint64_t last_life = 0;
+  uint64_t last_incarnation = 0;
 
-  // Returns what is to blame once all had time to object.
-  std::vector<RequestIdentity> end(std::vector<RequestIdentity> in_flight, uint64_t service = kService) {
+  // Returns the requests that are quarantined after the evidence delay.
+  std::vector<RequestIdentity> crash(std::vector<RequestIdentity> in_flight, uint64_t service = kService) {
     now += absl::Seconds(1);
-    crashes.noteCrash({++last_life, service, std::move(in_flight)}, now);
+    crashes.noteCrash({++last_incarnation, service, std::move(in_flight)}, now);
     now += CrashRegister::kEvidenceDelay;
     return crashes.settle(now);
   }
   CrashVerdict verdict(const RequestIdentity& identity) { return crashes.verdictOn(identity, now); }
 };
 
-const RequestIdentity kDeadly = request(1);
-const RequestIdentity kBeside = request(2);
+const RequestIdentity kCulprit = request(1);
+const RequestIdentity kBystander = request(2);
 
-TEST_CASE_METHOD(Fixture, "a request is to blame for the third server that ends under it, not before") {
-  CHECK(end({kDeadly, request(10)}).empty());
-  CHECK(end({kDeadly, request(11)}).empty());
-  CHECK(verdict(kDeadly) == CrashVerdict::kSend);
-  CHECK(crashes.noteCrash({++last_life, kService, {kDeadly, request(12)}}, now));
-  CHECK(verdict(kDeadly) == CrashVerdict::kWait);
+TEST_CASE_METHOD(Fixture, "a request is quarantined at the third crash under it, not before") {
+  CHECK(crash({kCulprit, request(10)}).empty());
+  CHECK(crash({kCulprit, request(11)}).empty());
+  CHECK(verdict(kCulprit) == CrashVerdict::kSend);
+  CHECK(crashes.noteCrash({++last_incarnation, kService, {kCulprit, request(12)}}, now));
+  CHECK(verdict(kCulprit) == CrashVerdict::kWait);
   now += CrashRegister::kEvidenceDelay;
-  CHECK(crashes.settle(now) == std::vector{kDeadly});
-  CHECK(verdict(kDeadly) == CrashVerdict::kReject);
+  CHECK(crashes.settle(now) == std::vector{kCulprit});
+  CHECK(verdict(kCulprit) == CrashVerdict::kReject);
   CHECK(verdict(request(12)) == CrashVerdict::kSend);
 }
 
-TEST_CASE_METHOD(Fixture, "who stood beside a worse request is not to blame, however often") {
-  end({kDeadly, kBeside});
-  end({kDeadly});
+TEST_CASE_METHOD(Fixture, "a request beside a worse suspect is not quarantined, however often") {
+  crash({kCulprit, kBystander});
+  crash({kCulprit});
   for (int count = 0; count < 10; ++count) {
-    end({kDeadly, kBeside});
+    crash({kCulprit, kBystander});
   }
-  CHECK(verdict(kDeadly) == CrashVerdict::kReject);
-  CHECK(verdict(kBeside) == CrashVerdict::kSend);
+  CHECK(verdict(kCulprit) == CrashVerdict::kReject);
+  CHECK(verdict(kBystander) == CrashVerdict::kSend);
 }
 
 TEST_CASE_METHOD(Fixture,
-                 "two that always stand together are told apart as soon as one ends a server alone") {
+                 "two requests that always run together are distinguished once one crashes a server alone") {
   for (int count = 0; count < 3; ++count) {
-    CHECK(end({kDeadly, kBeside}).empty());
+    CHECK(crash({kCulprit, kBystander}).empty());
   }
-  CHECK(end({kDeadly}) == std::vector{kDeadly});
-  CHECK(verdict(kBeside) == CrashVerdict::kSend);
+  CHECK(crash({kCulprit}) == std::vector{kCulprit});
+  CHECK(verdict(kBystander) == CrashVerdict::kSend);
 }
 
-TEST_CASE_METHOD(Fixture, "two that are never told apart are to blame for the fourth end") {
+TEST_CASE_METHOD(Fixture, "two requests that are never distinguished are quarantined at the fourth crash") {
   for (int count = 0; count < 3; ++count) {
-    CHECK(end({kDeadly, kBeside}).empty());
+    CHECK(crash({kCulprit, kBystander}).empty());
   }
-  CHECK(end({kDeadly, kBeside}).size() == 2);
+  CHECK(crash({kCulprit, kBystander}).size() == 2);
 }
 
-TEST_CASE_METHOD(Fixture, "three ends at once are not enough, for part of a service may have fallen") {
+TEST_CASE_METHOD(Fixture,
+                 "three simultaneous crashes are not enough, since part of a service may have failed") {
   for (int count = 0; count < 3; ++count) {
     now += absl::Milliseconds(100);
-    CHECK_FALSE(crashes.noteCrash({++last_life, kService, {kDeadly}}, now));
+    CHECK_FALSE(crashes.noteCrash({++last_incarnation, kService, {kCulprit}}, now));
   }
-  CHECK(end({kDeadly}) == std::vector{kDeadly});
+  CHECK(crash({kCulprit}) == std::vector{kCulprit});
 }
 
-TEST_CASE_METHOD(Fixture,
-                 "a gateway that started lately takes four ends, for it can't know what fell before") {
+TEST_CASE_METHOD(Fixture, "a recently started gateway needs four crashes, since it knows no earlier ones") {
   crashes = CrashRegister(now);
   for (int count = 0; count < 3; ++count) {
-    CHECK(end({kDeadly}).empty());
+    CHECK(crash({kCulprit}).empty());
   }
-  CHECK(end({kDeadly}) == std::vector{kDeadly});
+  CHECK(crash({kCulprit}) == std::vector{kCulprit});
 }
 
-TEST_CASE_METHOD(Fixture, "where servers fall anyway it takes four ends") {
-  CHECK(end({kDeadly}).empty());
+TEST_CASE_METHOD(Fixture, "where servers crash anyway it takes four crashes") {
+  CHECK(crash({kCulprit}).empty());
   for (uint64_t count = 0; count < 6; ++count) {
-    end({request(100 + count)});
+    crash({request(100 + count)});
   }
   for (int count = 0; count < 2; ++count) {
-    CHECK(end({kDeadly}).empty());
+    CHECK(crash({kCulprit}).empty());
   }
-  CHECK(end({kDeadly}) == std::vector{kDeadly});
+  CHECK(crash({kCulprit}) == std::vector{kCulprit});
 }
 
-TEST_CASE_METHOD(Fixture, "ends of another service, or of another culprit, do not speak for a request") {
+TEST_CASE_METHOD(Fixture,
+                 "crashes of another service, or with another culprit, do not count as unrelated crashes") {
   const RequestIdentity other = request(3);
-  end({kDeadly});
+  crash({kCulprit});
   for (int count = 0; count < 6; ++count) {
-    end({request(100 + static_cast<uint64_t>(count))}, kService + 1);
-    end({other});
+    crash({request(100 + static_cast<uint64_t>(count))}, kService + 1);
+    crash({other});
   }
-  end({kDeadly});
-  CHECK(end({kDeadly}) == std::vector{kDeadly});
+  crash({kCulprit});
+  CHECK(crash({kCulprit}) == std::vector{kCulprit});
 }
 
-TEST_CASE_METHOD(Fixture, "a body that many send is sound where it was served lately, here or elsewhere") {
-  crashes.noteServed(kBeside, now);
+TEST_CASE_METHOD(Fixture, "a request that was served recently, here or elsewhere, is not suspected") {
+  crashes.noteServed(kBystander, now);
   for (int count = 0; count < 6; ++count) {
-    CHECK(end({kBeside}).empty());
+    CHECK(crash({kBystander}).empty());
   }
-  // Long after it was served it may be charged; served once more, nothing is left of that.
+  // Long after it was served it may be suspected again; being served once more voids that.
   now += absl::Minutes(2);
   for (int count = 0; count < 5; ++count) {
-    end({kBeside});
+    crash({kBystander});
   }
-  CHECK(verdict(kBeside) == CrashVerdict::kReject);
-  CHECK(crashes.noteServed(kBeside, now));
-  CHECK(verdict(kBeside) == CrashVerdict::kSend);
-  CHECK(crashes.crashCount(kBeside) == 0);
-  CHECK_FALSE(crashes.noteQuarantined({kBeside}, now));
+  CHECK(verdict(kBystander) == CrashVerdict::kReject);
+  CHECK(crashes.noteServed(kBystander, now));
+  CHECK(verdict(kBystander) == CrashVerdict::kSend);
+  CHECK(crashes.crashCount(kBystander) == 0);
+  CHECK_FALSE(crashes.noteQuarantined({kBystander}, now));
 }
 
-TEST_CASE_METHOD(Fixture,
-                 "one end counts once, whoever tells of it, and a later one of the same name again") {
-  const ServerCrash told{1, kService, {kDeadly}};
-  for (int teller = 0; teller < 5; ++teller) {
+TEST_CASE_METHOD(
+    Fixture, "a crash counts once however many peers report it, and a later one of the same server again") {
+  const ServerCrash report{1, kService, {kCulprit}};
+  for (int reporter = 0; reporter < 5; ++reporter) {
     now += absl::Milliseconds(30);
-    CHECK_FALSE(crashes.noteCrash(told, now));
+    CHECK_FALSE(crashes.noteCrash(report, now));
   }
-  CHECK(crashes.crashCount(kDeadly) == 1);
+  CHECK(crashes.crashCount(kCulprit) == 1);
   now += absl::Seconds(2);
-  crashes.noteCrash(told, now);
-  CHECK(crashes.crashCount(kDeadly) == 2);
+  crashes.noteCrash(report, now);
+  CHECK(crashes.crashCount(kCulprit) == 2);
 }
 
-TEST_CASE_METHOD(Fixture, "an end that is told again is the same end, however late") {
-  const ServerCrash told{1, kService, {kDeadly}};
-  crashes.noteCrash(told, now);
+TEST_CASE_METHOD(Fixture, "a crash that is reported again is the same crash, however late") {
+  const ServerCrash report{1, kService, {kCulprit}};
+  crashes.noteCrash(report, now);
   for (int second = 1; second < 10; ++second) {
-    ServerCrash again = told;
+    ServerCrash again = report;
     again.ago = absl::Seconds(second) + absl::Milliseconds(100);
     crashes.noteCrash(again, now + absl::Seconds(second));
   }
-  CHECK(crashes.crashCount(kDeadly) == 1);
+  CHECK(crashes.crashCount(kCulprit) == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "a gateway that starts counts on from the ends that others tell again") {
-  end({kDeadly, request(10)});
-  end({kDeadly, request(11)});
+TEST_CASE_METHOD(Fixture, "a starting gateway continues the count from crashes that peers report again") {
+  crash({kCulprit, request(10)});
+  crash({kCulprit, request(11)});
   const std::vector<ServerCrash> open = crashes.unresolvedCrashes(10, now);
   REQUIRE(open.size() == 2);
-  CHECK(open[0].in_flight == std::vector{kDeadly});
+  CHECK(open[0].in_flight == std::vector{kCulprit});
   CrashRegister other(now);
-  for (const ServerCrash& told : open) {
-    other.noteCrash(told, now);
+  for (const ServerCrash& report : open) {
+    other.noteCrash(report, now);
   }
-  CHECK(other.crashCount(kDeadly) == 2);
+  CHECK(other.crashCount(kCulprit) == 2);
   CHECK(crashes.unresolvedCrashes(1, now).empty());
   CHECK(crashes.unresolvedCrashes(10, now + absl::Minutes(2)).empty());
 }
 
-TEST_CASE_METHOD(Fixture, "evidence of several gateways about one end adds up to all who were there") {
-  CHECK_FALSE(crashes.noteCrash({1, kService, {kDeadly}}, now));
-  CHECK_FALSE(crashes.noteCrash({1, kService, {kBeside}}, now));
-  CHECK(crashes.crashCount(kDeadly) == 1);
-  CHECK(crashes.crashCount(kBeside) == 1);
+TEST_CASE_METHOD(Fixture, "reports of several gateways about one crash add up to all requests in flight") {
+  CHECK_FALSE(crashes.noteCrash({1, kService, {kCulprit}}, now));
+  CHECK_FALSE(crashes.noteCrash({1, kService, {kBystander}}, now));
+  CHECK(crashes.crashCount(kCulprit) == 1);
+  CHECK(crashes.crashCount(kBystander) == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "who else was at the last end is heard before anybody is blamed") {
-  end({kDeadly, kBeside});
-  end({kDeadly, kBeside});
+TEST_CASE_METHOD(Fixture,
+                 "a late report of another request at the last crash comes in time to prevent a quarantine") {
+  crash({kCulprit, kBystander});
+  crash({kCulprit, kBystander});
   now += absl::Seconds(1);
-  CHECK(crashes.noteCrash({++last_life, kService, {kBeside}}, now));
-  CHECK(verdict(kBeside) == CrashVerdict::kWait);
-  crashes.noteCrash({last_life, kService, {kDeadly}}, now + absl::Milliseconds(60));
+  CHECK(crashes.noteCrash({++last_incarnation, kService, {kBystander}}, now));
+  CHECK(verdict(kBystander) == CrashVerdict::kWait);
+  crashes.noteCrash({last_incarnation, kService, {kCulprit}}, now + absl::Milliseconds(60));
   now += CrashRegister::kEvidenceDelay;
   CHECK(crashes.settle(now).empty());
-  CHECK(verdict(kBeside) == CrashVerdict::kSend);
+  CHECK(verdict(kBystander) == CrashVerdict::kSend);
 }
 
-TEST_CASE_METHOD(Fixture, "suspects run one at a time, for two seconds at most") {
-  end({kDeadly, kBeside, request(10)});
-  end({kDeadly, kBeside});
-  crashes.noteSent(kBeside, now);
-  CHECK(verdict(kDeadly) == CrashVerdict::kWait);
+TEST_CASE_METHOD(Fixture, "suspects run one at a time, each isolated for two seconds at most") {
+  crash({kCulprit, kBystander, request(10)});
+  crash({kCulprit, kBystander});
+  crashes.noteSent(kBystander, now);
+  CHECK(verdict(kCulprit) == CrashVerdict::kWait);
   CHECK(verdict(request(10)) == CrashVerdict::kSend);
   crashes.noteOver(request(10));
-  CHECK(verdict(kDeadly) == CrashVerdict::kWait);
-  crashes.noteOver(kBeside);
-  CHECK(verdict(kDeadly) == CrashVerdict::kSend);
-  crashes.noteSent(kBeside, now);
+  CHECK(verdict(kCulprit) == CrashVerdict::kWait);
+  crashes.noteOver(kBystander);
+  CHECK(verdict(kCulprit) == CrashVerdict::kSend);
+  crashes.noteSent(kBystander, now);
   now += CrashRegister::kMaxIsolationTime;
-  CHECK(verdict(kDeadly) == CrashVerdict::kSend);
+  CHECK(verdict(kCulprit) == CrashVerdict::kSend);
 }
 
-TEST_CASE_METHOD(Fixture, "what is told to be to blame is rejected, but for what was served here") {
-  CHECK(crashes.noteQuarantined({kDeadly}, now));
-  CHECK_FALSE(crashes.noteQuarantined({kDeadly}, now));
-  CHECK(verdict(kDeadly) == CrashVerdict::kReject);
-  CHECK(crashes.blamed(10) == std::vector{QuarantinedRequest{kDeadly, false}});
+TEST_CASE_METHOD(Fixture, "a reported quarantine is new once, and the request is rejected") {
+  CHECK(crashes.noteQuarantined({kCulprit}, now));
+  CHECK_FALSE(crashes.noteQuarantined({kCulprit}, now));
+  CHECK(verdict(kCulprit) == CrashVerdict::kReject);
+  CHECK(crashes.blamed(10) == std::vector{QuarantinedRequest{kCulprit, false}});
 }
 
-TEST_CASE_METHOD(Fixture, "a request that is to blame is tried once more, and is free once it was served") {
+TEST_CASE_METHOD(Fixture, "a quarantined request gets one trial, and is released once it was served") {
   for (int count = 0; count < 5; ++count) {
-    end({kDeadly, kBeside});
+    crash({kCulprit, kBystander});
   }
-  CHECK(verdict(kBeside) == CrashVerdict::kReject);
-  CHECK_FALSE(crashes.isTrialDue(kBeside, now));
+  CHECK(verdict(kBystander) == CrashVerdict::kReject);
+  CHECK_FALSE(crashes.isTrialDue(kBystander, now));
   now += CrashRegister::kTrialDelay;
-  REQUIRE(crashes.isTrialDue(kBeside, now));
-  crashes.takeTrial(kBeside, now);
-  CHECK_FALSE(crashes.isTrialDue(kBeside, now));
-  CHECK(verdict(kBeside) == CrashVerdict::kSend);
-  CHECK(verdict(kBeside) == CrashVerdict::kSend);  // asked once more on its way
-  crashes.noteSent(kBeside, now);
-  CHECK(verdict(kBeside) == CrashVerdict::kReject);
-  CHECK_FALSE(crashes.isTrialDue(kDeadly, now));  // one at a time
-  crashes.noteServed(kBeside, now);
-  crashes.noteOver(kBeside);
-  CHECK(verdict(kBeside) == CrashVerdict::kSend);
-  REQUIRE(crashes.isTrialDue(kDeadly, now));
-  crashes.takeTrial(kDeadly, now);
-  crashes.noteSent(kDeadly, now);
-  end({kDeadly});
-  crashes.noteOver(kDeadly);
+  REQUIRE(crashes.isTrialDue(kBystander, now));
+  crashes.takeTrial(kBystander, now);
+  CHECK_FALSE(crashes.isTrialDue(kBystander, now));
+  CHECK(verdict(kBystander) == CrashVerdict::kSend);
+  CHECK(verdict(kBystander) == CrashVerdict::kSend);  // the verdict is read again before it is sent
+  crashes.noteSent(kBystander, now);
+  CHECK(verdict(kBystander) == CrashVerdict::kReject);
+  CHECK_FALSE(crashes.isTrialDue(kCulprit, now));  // one at a time
+  crashes.noteServed(kBystander, now);
+  crashes.noteOver(kBystander);
+  CHECK(verdict(kBystander) == CrashVerdict::kSend);
+  REQUIRE(crashes.isTrialDue(kCulprit, now));
+  crashes.takeTrial(kCulprit, now);
+  crashes.noteSent(kCulprit, now);
+  crash({kCulprit});
+  crashes.noteOver(kCulprit);
   now += absl::Hours(1);
-  CHECK_FALSE(crashes.isTrialDue(kDeadly, now));
-  CHECK(verdict(kDeadly) == CrashVerdict::kReject);
+  CHECK_FALSE(crashes.isTrialDue(kCulprit, now));
+  CHECK(verdict(kCulprit) == CrashVerdict::kReject);
 }
 
-TEST_CASE_METHOD(Fixture, "what another gateway has tried once more is not tried here") {
-  crashes.noteQuarantined({kDeadly, false}, now);
+TEST_CASE_METHOD(Fixture, "a request that had its trial at another gateway gets none here") {
+  crashes.noteQuarantined({kCulprit, false}, now);
   now += CrashRegister::kTrialDelay;
-  CHECK(crashes.isTrialDue(kDeadly, now));
-  crashes.noteQuarantined({kDeadly, true}, now);
-  CHECK_FALSE(crashes.isTrialDue(kDeadly, now));
+  CHECK(crashes.isTrialDue(kCulprit, now));
+  crashes.noteQuarantined({kCulprit, true}, now);
+  CHECK_FALSE(crashes.isTrialDue(kCulprit, now));
 }
 
-TEST_CASE_METHOD(Fixture, "what callers send fills neither the ends nor the blamed without bound") {
+TEST_CASE_METHOD(Fixture, "memory for crashes and quarantined requests is bounded, whatever clients send") {
   for (uint64_t count = 0; count < 3000; ++count) {
     std::vector<RequestIdentity> in_flight;
     for (uint64_t index = 0; index < 10; ++index) {
       in_flight.push_back(request(1'000 + count * 10 + index));
     }
-    end(std::move(in_flight));
+    crash(std::move(in_flight));
     crashes.noteQuarantined({request(1'000'000 + count)}, now);
   }
   CHECK(crashes.suspectCount() <= 4096);
   CHECK(crashes.quarantinedCount() <= 1024);
   CHECK(crashes.blamed(1) == std::vector{QuarantinedRequest{request(1'002'999), false}});
   // The newest evidence still counts.
-  end({kDeadly});
-  end({kDeadly});
-  CHECK(crashes.crashCount(kDeadly) == 2);
+  crash({kCulprit});
+  crash({kCulprit});
+  CHECK(crashes.crashCount(kCulprit) == 2);
 }
 
-TEST_CASE_METHOD(Fixture, "ends are forgotten after an hour, blame a day after the request came last") {
-  end({kDeadly});
+TEST_CASE_METHOD(Fixture, "crashes expire after an hour, quarantine a day after the request last came") {
+  crash({kCulprit});
   now += absl::Minutes(61);
   crashes.dropExpired(now);
-  CHECK_FALSE(crashes.isSuspect(kDeadly));
-  crashes.noteQuarantined({kDeadly}, now);
+  CHECK_FALSE(crashes.isSuspect(kCulprit));
+  crashes.noteQuarantined({kCulprit}, now);
   for (int hours = 0; hours < 72; hours += 12) {
     now += absl::Hours(12);
     crashes.dropExpired(now);
-    CHECK(crashes.verdictOn(kDeadly, now) == CrashVerdict::kReject);
+    CHECK(crashes.verdictOn(kCulprit, now) == CrashVerdict::kReject);
   }
   now += absl::Hours(25);
   crashes.dropExpired(now);
-  CHECK(crashes.verdictOn(kDeadly, now) == CrashVerdict::kSend);
+  CHECK(crashes.verdictOn(kCulprit, now) == CrashVerdict::kSend);
 }
 
 }  // namespace
--- a/tests/forwarding/engine_capability_test.cc
+++ b/tests/forwarding/engine_capability_test.cc
@@ -1,5 +1,5 @@
-// What engines can do, learnt from requests: engines of one service whose speed differs by three, and that
-// turn slow for a moment.
+// Estimates of engine capability from requests, for engines of one service whose speeds differ by a factor of
+// three and that become slow for short periods.
 #include "forwarding/engine_capability.h"
 
 #include <rapidcheck.h>
@@ -14,9 +14,9 @@
 const absl::Time kNow = absl::UnixEpoch() + absl::Hours(1);
 constexpr absl::Duration kSlow = absl::Microseconds(50);
 
-// Four prompts a second for so long.
-absl::Time readFor(CapabilityEstimator& estimator, absl::Duration length, absl::Duration per_token,
-                   absl::Time now) {
+// Notes four prefills a second for `length`.
+absl::Time prefillFor(CapabilityEstimator& estimator, absl::Duration length, absl::Duration per_token,
+                      absl::Time now) {
   const absl::Time end = now + length;
   for (; now < end; now += absl::Milliseconds(250)) {
     estimator.notePrefillDone(3000, per_token * 3000, now);
@@ -24,25 +24,25 @@
   return now;
 }
 
-TEST_CASE("an engine's own time to read a token is known within some seconds of its load") {
+TEST_CASE("an engine's prefill time per token is known after a few seconds of load") {
   CapabilityEstimator estimator;
-  const absl::Time now = readFor(estimator, absl::Seconds(4), kSlow, kNow);
-  // A tenth off moves the first piece of a long prompt, 9,000 tokens, by 45 ms: less than the wait for one
-  // other.
+  const absl::Time now = prefillFor(estimator, absl::Seconds(4), kSlow, kNow);
+  // An error of 10 % shifts the first piece of a long prompt, 9,000 tokens, by 45 ms: less than the wait for
+  // one other prompt.
   CHECK(absl::AbsDuration(estimator.at(now).read_per_token - kSlow) < kSlow / 10);
 }
 
-TEST_CASE("one reading decides nothing, and a slow moment is over within some seconds") {
+TEST_CASE("one sample changes little, and a slow period is forgotten within seconds") {
   CapabilityEstimator estimator;
-  absl::Time now = readFor(estimator, absl::Seconds(5), kDefaultReadPerToken, kNow);
+  absl::Time now = prefillFor(estimator, absl::Seconds(5), kDefaultReadPerToken, kNow);
   estimator.notePrefillDone(3000, kSlow * 3000, now);
   CHECK(estimator.at(now).read_per_token < kDefaultReadPerToken * 1.1);
-  now = readFor(estimator, absl::Seconds(1), kSlow, now);
-  now = readFor(estimator, absl::Seconds(8), kDefaultReadPerToken, now);
+  now = prefillFor(estimator, absl::Seconds(1), kSlow, now);
+  now = prefillFor(estimator, absl::Seconds(8), kDefaultReadPerToken, now);
   CHECK(estimator.at(now).read_per_token < kDefaultReadPerToken * 1.1);
 }
 
-TEST_CASE("what is not seen for long is not known, so that an engine that was shunned is tried again") {
+TEST_CASE("an estimate without new samples decays, so that an engine that was avoided is tried again") {
   CapabilityEstimator estimator;
   for (int stream = 0; stream < 10; ++stream) {
     estimator.notePause(absl::Milliseconds(500), kNow);
@@ -50,12 +50,12 @@
   const absl::Duration allowed = absl::Milliseconds(300);
   CHECK(estimator.at(kNow).probabilityOfPauseOver(allowed) > 0.9);
   CHECK(estimator.at(kNow + absl::Seconds(30)).probabilityOfPauseOver(allowed) < 0.1);
-  const ReportedCapability told = {estimator.at(kNow), kNow};
-  CHECK(told.at(kNow + absl::Seconds(2)).probabilityOfPauseOver(allowed) > 0.9);
-  CHECK(told.at(kNow + absl::Seconds(20)).probabilityOfPauseOver(allowed) < 0.1);
+  const ReportedCapability reported = {estimator.at(kNow), kNow};
+  CHECK(reported.at(kNow + absl::Seconds(2)).probabilityOfPauseOver(allowed) > 0.9);
+  CHECK(reported.at(kNow + absl::Seconds(20)).probabilityOfPauseOver(allowed) < 0.1);
 }
 
-TEST_CASE("the chance of a pause too long is that of the streams that had one") {
+TEST_CASE("the probability of a long pause matches the share of streams that had one") {
   CapabilityEstimator estimator;
   for (int stream = 0; stream < 40; ++stream) {
     estimator.notePause(absl::Milliseconds(stream % 2 == 0 ? 100 : 300), kNow);
@@ -66,7 +66,7 @@
   CHECK(EngineCapability().probabilityOfPauseOver(absl::Milliseconds(1)) == 0);
 }
 
-TEST_CASE("whatever is read and paused, what is told stays within what engines can be") {
+TEST_CASE("estimates stay within the allowed range for any samples") {
   CHECK(rc::check([] {
     CapabilityEstimator estimator;
     absl::Time now = kNow;
@@ -75,75 +75,75 @@
       estimator.notePrefillDone(*rc::gen::inRange<uint64_t>(1, 1'000'000),
                                 absl::Milliseconds(*rc::gen::inRange(0, 100'000)), now);
       estimator.notePause(absl::Milliseconds(*rc::gen::inRange(0, 100'000)), now);
-      const EngineCapability told = estimator.at(now);
-      RC_ASSERT(told.read_per_token >= kDefaultReadPerToken / 20);
-      RC_ASSERT(told.read_per_token <= kDefaultReadPerToken * 20);
-      RC_ASSERT(told.pause >= absl::ZeroDuration());
-      const double chance = told.probabilityOfPauseOver(absl::Milliseconds(300));
+      const EngineCapability reported = estimator.at(now);
+      RC_ASSERT(reported.read_per_token >= kDefaultReadPerToken / 20);
+      RC_ASSERT(reported.read_per_token <= kDefaultReadPerToken * 20);
+      RC_ASSERT(reported.pause >= absl::ZeroDuration());
+      const double chance = reported.probabilityOfPauseOver(absl::Milliseconds(300));
       RC_ASSERT(chance >= 0.0);
       RC_ASSERT(chance <= 1.0);
     }
   }));
 }
 
-TEST_CASE("the books learn an engine's speed from places, and not from those that waited for a slot") {
-  OccupancyTracker books;
+TEST_CASE("speed is estimated from reservations, except those that waited for a slot") {
+  OccupancyTracker tracker;
   absl::Time now = kNow;
   const auto serve = [&](uint64_t number, bool waits_for_slot, absl::Duration took) {
     const OccupancyTracker::ReservationId name = {7, NodeId("g"), number};
-    books.reserve(name, 3000, waits_for_slot, now);
+    tracker.reserve(name, 3000, waits_for_slot, now);
     now += took;
-    books.notePrefillDone(name, now);
-    books.release(name, absl::Milliseconds(400), now);
+    tracker.notePrefillDone(name, now);
+    tracker.release(name, absl::Milliseconds(400), now);
   };
   for (uint64_t number = 0; number < 10; ++number) {
     serve(number, true, absl::Seconds(1));
   }
-  CHECK(books.capability(7, now).read_per_token == kDefaultReadPerToken);
+  CHECK(tracker.capability(7, now).read_per_token == kDefaultReadPerToken);
   for (uint64_t number = 10; number < 30; ++number) {
     serve(number, false, kSlow * 3000);
   }
-  CHECK(books.capability(7, now).read_per_token > kSlow * 0.9);
-  CHECK(books.capability(7, now).pause > absl::Milliseconds(350));
+  CHECK(tracker.capability(7, now).read_per_token > kSlow * 0.9);
+  CHECK(tracker.capability(7, now).pause > absl::Milliseconds(350));
 }
 
-TEST_CASE("an engine that went silent is known by what is overdue, for the place that is asked for now") {
-  OccupancyTracker books;
-  books.reserve({7, NodeId("g"), 1}, 3000, false, kNow);
+TEST_CASE("overdue prefills reveal a silent engine, for a reservation made now only") {
+  OccupancyTracker tracker;
+  tracker.reserve({7, NodeId("g"), 1}, 3000, false, kNow);
   const auto overdue = [&](absl::Time now) {
-    return books.withOverdue(7, books.capability(7, now), now).read_per_token;
+    return tracker.withOverdue(7, tracker.capability(7, now), now).read_per_token;
   };
-  // As long as it may be reading, nothing is said.
+  // While the prefill may still be running, the estimate is unchanged.
   CHECK(overdue(kNow + absl::Milliseconds(78)) == kDefaultReadPerToken);
-  // A second later a prompt before it counts as eight times its time: other engines go first.
+  // A second later a prompt in front counts as eight times its prefill time, so other engines are preferred.
   CHECK(overdue(kNow + absl::Seconds(1)) > kDefaultReadPerToken * 7);
-  CHECK(books.capability(7, kNow + absl::Seconds(1)).read_per_token == kDefaultReadPerToken);
+  CHECK(tracker.capability(7, kNow + absl::Seconds(1)).read_per_token == kDefaultReadPerToken);
 }
 
-TEST_CASE("a lost message about a reading makes no engine slow") {
-  OccupancyTracker books;
-  books.reserve({7, NodeId("lost"), 1}, 3000, false, kNow);
-  books.reserve({7, NodeId("g"), 2}, 3000, false, kNow + absl::Milliseconds(10));
-  books.notePrefillDone({7, NodeId("g"), 2}, kNow + absl::Milliseconds(160));
+TEST_CASE("a lost message about a finished prefill does not make an engine look slow") {
+  OccupancyTracker tracker;
+  tracker.reserve({7, NodeId("lost"), 1}, 3000, false, kNow);
+  tracker.reserve({7, NodeId("g"), 2}, 3000, false, kNow + absl::Milliseconds(10));
+  tracker.notePrefillDone({7, NodeId("g"), 2}, kNow + absl::Milliseconds(160));
   const absl::Time now = kNow + absl::Seconds(2);
-  CHECK(books.withOverdue(7, books.capability(7, now), now) == books.capability(7, now));
+  CHECK(tracker.withOverdue(7, tracker.capability(7, now), now) == tracker.capability(7, now));
 }
 
-TEST_CASE("the next keeper begins with what the last one told") {
-  OccupancyTracker books;
-  EngineCapability told;
-  told.read_per_token = kSlow;
-  told.pause = absl::Milliseconds(400);
-  told.pause_deviation = absl::Milliseconds(50);
-  books.begin(7, told, kNow);
-  CHECK(books.capability(7, kNow).pause == absl::Milliseconds(400));
-  CHECK(books.capability(7, kNow).read_per_token > kDefaultReadPerToken * 1.4);
-  books.begin(7, EngineCapability(), kNow);
-  CHECK(books.capability(7, kNow).pause == absl::Milliseconds(400));
+TEST_CASE("the next owner starts with the previous owner's estimate") {
+  OccupancyTracker tracker;
+  EngineCapability reported;
+  reported.read_per_token = kSlow;
+  reported.pause = absl::Milliseconds(400);
+  reported.pause_deviation = absl::Milliseconds(50);
+  tracker.begin(7, reported, kNow);
+  CHECK(tracker.capability(7, kNow).pause == absl::Milliseconds(400));
+  CHECK(tracker.capability(7, kNow).read_per_token > kDefaultReadPerToken * 1.4);
+  tracker.begin(7, EngineCapability(), kNow);
+  CHECK(tracker.capability(7, kNow).pause == absl::Milliseconds(400));
 }
 
-// The load: streams of eight pieces that may pause for 300 ms, beside long prompts that are read, on engines
-// of which every third takes 400 ms for a piece then.
+// Streams of eight pieces with an allowed pause of 300 ms run beside long prefills. Every third engine then
+// takes 400 ms for a piece.
 struct UnevenEngines {
   ServerDirectory directory;
   EnginePlacement placement;
@@ -169,7 +169,7 @@
     }
   }
   static bool isSlow(int index) { return index % 3 == 0; }
-  // How many of a hundred streams go to slow engines.
+  // The number of streams out of a hundred that are placed on slow engines.
   int atSlowEngines(absl::Time now, uint64_t output_tokens) {
     int slow = 0;
     for (int stream = 0; stream < 100; ++stream) {
@@ -187,27 +187,27 @@
   }
 };
 
-TEST_CASE("streams keep away from engines whose pauses would make them late") {
-  UnevenEngines alike(false);
-  CHECK(alike.atSlowEngines(kNow, 50) > 20);
-  UnevenEngines known(true);
-  known.placement.notePauses(50);
-  CHECK(known.atSlowEngines(kNow, 50) == 0);
+TEST_CASE("streams avoid engines whose pauses would make them late") {
+  UnevenEngines uniform(false);
+  CHECK(uniform.atSlowEngines(kNow, 50) > 20);
+  UnevenEngines learned(true);
+  learned.placement.notePauses(50);
+  CHECK(learned.atSlowEngines(kNow, 50) == 0);
 }
 
-TEST_CASE("what a gateway was told long ago keeps nobody away: its keeper may be gone") {
+TEST_CASE("an old report does not keep streams away from an engine, since its owner may be gone") {
   UnevenEngines site(true);
   site.placement.notePauses(50);
   CHECK(site.atSlowEngines(kNow + absl::Seconds(40), 50) > 20);
 }
 
-TEST_CASE("an answer of few tokens may go to a slow engine more easily than a long stream") {
+TEST_CASE("a response of few tokens is placed on a slow engine more readily than a long stream") {
   UnevenEngines site(true);
   site.placement.notePauses(50);
   CHECK(site.atSlowEngines(kNow, 1) > 5);
 }
 
-TEST_CASE("a long prompt is read where it holds up the fewest streams") {
+TEST_CASE("a long prompt is prefilled where it delays the fewest streams") {
   UnevenEngines site(true);
   for (const auto& [id, server] : site.directory.all()) {
     server->own.running = id == "e5" ? 0 : 8;
@@ -215,15 +215,15 @@
   PlacementRequest request;
   request.model = ModelName("m");
   request.prompt = {{"own", 9000}};
-  int quiet = 0;
+  int idle = 0;
   for (int draw = 0; draw < 40; ++draw) {
-    quiet += site.placement
-                 .choose(request, site.directory.ofService(ServiceName("engines")), site.directory, {}, {},
-                         WeightsVersion(), kNow)
-                 ->server->entry.id == "e5";
+    idle += site.placement
+                .choose(request, site.directory.ofService(ServiceName("engines")), site.directory, {}, {},
+                        WeightsVersion(), kNow)
+                ->server->entry.id == "e5";
   }
-  // It is among the twelve that are weighed in two of five choices.
-  CHECK(quiet >= 8);
+  // It is among the twelve candidates in two of five choices.
+  CHECK(idle >= 8);
 }
 
 }  // namespace
--- a/tests/forwarding/engine_placement_test.cc
+++ b/tests/forwarding/engine_placement_test.cc
@@ -20,7 +20,7 @@
   return store;
 }
 
-EnginePlacementSettings switched(const PlacementSwitches& switches) {
+EnginePlacementSettings settingsWith(const PlacementSwitches& switches) {
   EnginePlacementSettings settings;
   settings.switches = switches;
   return settings;
@@ -31,7 +31,8 @@
   EnginePlacement placement;
   std::vector<CacheStoreTraits> stores = {storeAt("10.0.0.9")};
 
-  explicit Fixture(int engines = 6, const PlacementSwitches& switches = {}) : placement(switched(switches)) {
+  explicit Fixture(int engines = 6, const PlacementSwitches& switches = {})
+      : placement(settingsWith(switches)) {
     for (int index = 0; index < engines; ++index) {
       ServerEntry entry;
       entry.id = "e" + std::to_string(index);
@@ -53,7 +54,7 @@
   }
 };
 
-TEST_CASE("a prompt goes where its parts are kept") {
+TEST_CASE("a prompt is placed where its parts are cached") {
   Fixture fixture;
   const auto first = fixture.choose("s1");
   REQUIRE(first);
@@ -74,7 +75,7 @@
   CHECK(used.size() == 6);
 }
 
-TEST_CASE("kept parts are fetched when their engine can't be used") {
+TEST_CASE("cached parts are fetched if their engine can't be used") {
   Fixture fixture;
   const auto first = fixture.choose("s1");
   fixture.placement.noteCached(first->server->slot, first->shared_keys, kNow);
@@ -85,9 +86,9 @@
   CHECK(second->fetched_tokens == 6200);
 }
 
-// Finding F4: engines give up what they are believed to keep.
-// Finding F13: of what engines were believed to keep for others, much was gone.
-TEST_CASE("the cache store is the source before any engine, and gets what nobody is believed to keep") {
+// Engines evict parts that they are believed to cache, and much of what they were believed to cache for other
+// engines had been evicted. A store is therefore preferred as a source.
+TEST_CASE("the cache store is preferred as a source, and is the target for chains that no engine caches") {
   Fixture fixture;
   const auto first = fixture.choose("s1");
   CHECK(first->cache_source == fixture.stores[0].address);
@@ -97,28 +98,27 @@
   CHECK(second->cache_source == fixture.stores[0].address);
 }
 
-// Finding F17: an engine sends its target all that it reads; the own parts of requests whose shared ones were
-// kept filled the store and its link, and the shared parts gave way.
-TEST_CASE("a store gets nothing of a chain that an engine is believed to keep") {
+// An engine sends all that it prefills to its target. With a target for every request, the requests' own
+// parts filled the store and its link, and the shared parts were evicted.
+TEST_CASE("a chain that an engine is believed to cache has no store as target") {
   const auto targets = [](const PlacementSwitches& switches) {
     Fixture fixture(6, switches);
     const auto first = fixture.choose("s1");
     fixture.placement.noteCached(first->server->slot, first->shared_keys, kNow);
-    const auto at_the_same = fixture.choose("s1");
+    const auto same_engine = fixture.choose("s1");
     const auto elsewhere = fixture.choose("s1", {first->server->identity_hash});
     const auto another = fixture.choose("s2");
-    return std::vector<bool>{at_the_same->cache_target.has_value(), elsewhere->cache_target.has_value(),
+    return std::vector<bool>{same_engine->cache_target.has_value(), elsewhere->cache_target.has_value(),
                              another->cache_target.has_value()};
   };
   CHECK(targets({}) == std::vector<bool>{false, false, true});
-  PlacementSwitches all_read;
-  all_read.store_only_uncached = false;
-  CHECK(targets(all_read) == std::vector<bool>{true, true, true});
+  PlacementSwitches store_always;
+  store_always.store_only_uncached = false;
+  CHECK(targets(store_always) == std::vector<bool>{true, true, true});
 }
 
-// A copy takes the place of another chain's parts, so a chain stays where it is kept until the wait there
-// costs more than that.
-TEST_CASE("a chain stays with its engine while others are a little less busy") {
+// A copy evicts parts of another chain, so a chain stays where it is cached until waiting there costs more.
+TEST_CASE("a chain stays with its engine while others are only slightly less loaded") {
   const auto stays = [](uint64_t queued_tokens, const PlacementSwitches& switches) {
     Fixture fixture(6, switches);
     const auto first = fixture.choose("s1");
@@ -133,7 +133,7 @@
   CHECK_FALSE(stays(60000, {}));
 }
 
-TEST_CASE("where no store can be reached, an engine that keeps the parts is the source") {
+TEST_CASE("if no store can be reached, an engine that caches the parts is the source") {
   Fixture fixture;
   fixture.stores.clear();
   const auto first = fixture.choose("s1");
@@ -144,7 +144,7 @@
   CHECK(second->cache_source == first->server->entry.address);
 }
 
-TEST_CASE("chains spread over the stores, each has its own") {
+TEST_CASE("chains spread over the stores, and each is assigned to one") {
   Fixture fixture;
   fixture.stores.push_back(storeAt("10.0.0.7"));
   fixture.stores.push_back(storeAt("10.0.0.8"));
@@ -185,7 +185,7 @@
   CHECK(fixture.choose("s1", {}, "", WeightsVersion(2))->server->entry.id == "e3");
 }
 
-TEST_CASE("a full engine sheds its sessions to others, which fetch") {
+TEST_CASE("sessions of a full engine move to others, which fetch the cached parts") {
   Fixture fixture;
   const auto first = fixture.choose("s1");
   fixture.placement.noteCached(first->server->slot, first->shared_keys, kNow);
@@ -196,23 +196,23 @@
   CHECK(second->fetched_tokens == 6200);
 }
 
-TEST_CASE("an engine with the wanted weights goes before one that keeps the parts under older ones") {
+TEST_CASE("an engine with the wanted weights is preferred once the older version's cache is gone") {
   Fixture site;
-  const auto kept = site.choose("s");
-  REQUIRE(kept);
-  site.placement.noteCached(kept->server->slot, kept->shared_keys, kNow);
+  const auto first = site.choose("s");
+  REQUIRE(first);
+  site.placement.noteCached(first->server->slot, first->shared_keys, kNow);
   for (const auto& [id, server] : site.directory.all()) {
-    if (server != kept->server) {
+    if (server != first->server) {
       ServerDirectory::noteVersion(*server, kModel, WeightsVersion(2));
     }
   }
-  CHECK(site.choose("s")->server == kept->server);
+  CHECK(site.choose("s")->server == first->server);
   site.wanted = WeightsVersion(2);
-  site.placement.forget(kept->server->slot);
+  site.placement.forget(first->server->slot);
   CHECK(site.choose("s")->version == WeightsVersion(2));
 }
 
-TEST_CASE("a request goes on to the next engine until all were tried") {
+TEST_CASE("a request moves to the next engine until all were tried") {
   Fixture site(20);
   std::vector<uint64_t> tried;
   for (int attempt = 0; attempt < 20; ++attempt) {
@@ -223,14 +223,14 @@
   CHECK(std::set<uint64_t>(tried.begin(), tried.end()).size() == 20);
 }
 
-// Finding F14: short prompts waited for slots of one engine while others were free.
-TEST_CASE("an engine whose slots are all taken gives its requests to the others") {
+// Guards against short prompts waiting for slots of one engine while others have free ones.
+TEST_CASE("requests move to other engines once all slots of one are taken") {
   Fixture site(20);
-  const PlacementRequest brief{kModel, {{"brief", 120}, {"s", 80}, {"own", 600}}, "", {}};
+  const PlacementRequest short_request{kModel, {{"brief", 120}, {"s", 80}, {"own", 600}}, "", {}};
   std::set<std::string> used;
   for (int request = 0; request < 20 * 64; ++request) {
-    const auto choice = site.placement.choose(brief, site.directory.ofService(kService), site.directory,
-                                              site.stores, {}, {}, kNow);
+    const auto choice = site.placement.choose(short_request, site.directory.ofService(kService),
+                                              site.directory, site.stores, {}, {}, kNow);
     REQUIRE(choice);
     CHECK(choice->server->running() <= 64);  // one waits at most
     used.insert(choice->server->entry.id);
--- a/tests/forwarding/event_splitter_test.cc
+++ b/tests/forwarding/event_splitter_test.cc
@@ -6,7 +6,7 @@
 namespace quincewick::forwarding {
 namespace {
 
-TEST_CASE("events are the same however the bytes are cut") {
+TEST_CASE("events do not depend on how the bytes are split") {
   CHECK(rc::check([] {
     const auto ids = *rc::gen::container<std::vector<uint16_t>>(rc::gen::arbitrary<uint16_t>());
     std::string stream;
@@ -35,13 +35,13 @@
   }));
 }
 
-TEST_CASE("an event that is not whole stays back") {
+TEST_CASE("an incomplete event is held back") {
   EventSplitter splitter;
   CHECK(splitter.take("id: 1\ndata: a\n\nid: 2\ndata: b\n").size() == 1);
   CHECK(splitter.rest() == "id: 2\ndata: b\n");
 }
 
-TEST_CASE("an id that is no whole number is none") {
+TEST_CASE("an id that is not an integer is ignored") {
   EventSplitter splitter;
   const auto events = splitter.take("id: 1x\n\ndata: id: 7\n\n");
   REQUIRE(events.size() == 2);
--- a/tests/forwarding/request_identity_test.cc
+++ b/tests/forwarding/request_identity_test.cc
@@ -12,7 +12,7 @@
   return identityOf(method, target, TenantId(caller), body);
 }
 
-TEST_CASE("a request is the same one exactly while method, target, caller and body are") {
+TEST_CASE("identities are equal exactly if method, target, caller and body are") {
   CHECK(rc::check([](const std::string& method, const std::string& target, const std::string& caller,
                      const std::string& body) {
     const RequestIdentity identity = identityOfTexts(method, target, caller, body);
@@ -24,7 +24,7 @@
   }));
 }
 
-TEST_CASE("what stands in one part can't pass for another") {
+TEST_CASE("moving bytes from one part to another changes the identity") {
   CHECK(identityOfTexts("POST", "/a", "t", "b") != identityOfTexts("POST", "/a", "", "tb"));
   CHECK(identityOfTexts("POST", "/a", "t", "b") != identityOfTexts("POST", "/at", "", "b"));
   CHECK(identityOfTexts("POST", "/a", "t", "") != identityOfTexts("POST/a", "", "t", ""));
--- a/tests/forwarding/retry_budget_test.cc
+++ b/tests/forwarding/retry_budget_test.cc
@@ -14,8 +14,8 @@
 constexpr double kAnyPhase = 0.5;
 constexpr absl::Duration kWindow = absl::Seconds(10);  // of the site's bound
 
-// Nodes start, die and start again; each knows all that ever started, but for the newest.
-TEST_CASE("repeats of all nodes stay within the site's budget in every window") {
+// Nodes start, crash and restart; each knows all that ever started except the latest ones.
+TEST_CASE("retries of all nodes stay within the site's budget in every window") {
   CHECK(rc::check([] {
     constexpr double ratio = 0.2;
     constexpr double site_constant = 54;
@@ -32,40 +32,39 @@
     };
     std::vector<RetryBudget> budgets(nodes, start());
     std::vector<absl::Time> requests;
-    std::vector<absl::Time> repeats;
+    std::vector<absl::Time> retries;
     for (int step = 0; step < 600; ++step) {
       now += absl::Milliseconds(*rc::gen::inRange(0, 200));
       RetryBudget& budget = budgets[*rc::gen::inRange<size_t>(0, nodes)];
-      const int what = *rc::gen::inRange(0, 20);
-      if (what == 0) {
+      const int action = *rc::gen::inRange(0, 20);
+      if (action == 0) {
         budget = start();
-      } else if (what < 6) {
+      } else if (action < 6) {
         budget.noteRequest(kService);
         requests.push_back(now);
       } else if (budget.tryAcquireRetry(kService)) {
-        repeats.push_back(now);
+        retries.push_back(now);
       }
     }
     // Requests may be counted in the window or in one shortly before it.
-    for (const absl::Time& end : repeats) {
+    for (const absl::Time& end : retries) {
       const auto in = [&](const std::vector<absl::Time>& times, absl::Duration width) {
         return std::count_if(times.begin(), times.end(),
                              [&](absl::Time time) { return time > end - width && time <= end; });
       };
       const auto allowed = ratio * static_cast<double>(in(requests, window * 2)) + site_constant;
-      RC_ASSERT(static_cast<double>(in(repeats, window)) <= allowed);
+      RC_ASSERT(static_cast<double>(in(retries, window)) <= allowed);
     }
   }));
 }
 
-// The incident: 1,304 repeats within 10 s, where 1,127 were allowed for 4,645 requests.
-//
-// Seen: at 79 nodes that were stopped in turn while all servers refused three requests in ten. How it came
-// about: what a calm window had left unused was spent at once, and callers that moved from a stopped node
-// were counted again where they came to, for each node's part grew with the requests of its own last window.
-// Cause: one request gave leave for repeats in two windows, at one node or at two. Proof: nodes, callers and
-// failures on virtual time, where nothing else happens; it failed at once.
-// Spread over 0 to 1, another one for each start.
+// Guards against exceeding the budget while nodes stop in turn: 79 nodes sent 1,304 retries within 10 s where
+// 1,127 were allowed for 4,645 requests, while all servers rejected three requests in ten. One request
+// allowed retries in two windows, at one node or at two: the unused part of a calm window was spent at once,
+// and clients that moved from a stopped node were counted again at the next, since each node's part grew with
+// the requests of its own last window. The simulation runs nodes, clients and failures in virtual time.
+
+// Rounding phases spread over 0 to 1, a different one for each start.
 struct Phases {
   double last = 0;
   double next() {
@@ -86,7 +85,7 @@
   std::vector<Node> nodes;
   std::vector<size_t> home;  // of each caller: the node it is connected to
   std::vector<absl::Time> requests;
-  std::vector<absl::Time> repeats;
+  std::vector<absl::Time> retries;
   absl::Time now = absl::UnixEpoch();
 
   Site(const RetryBudgetSettings& given, size_t all_nodes, size_t caller_count)
@@ -106,7 +105,7 @@
     budget.noteNodes(std::max(nodes.size(), node_count));
     return budget;
   }
-  // Its callers go elsewhere; back, it starts anew.
+  // Its clients move to the next running node; a later start uses a new process.
   void stop(size_t index) {
     nodes[index].is_up = false;
     for (size_t& node : home) {
@@ -117,13 +116,13 @@
   }
   void start(size_t index) { nodes[index] = {started(false)}; }
 
-  // A caller asks; its request fails at `failures` servers in a row.
-  void ask(size_t caller, int failures) {
+  // A client sends a request, which fails at `failures` servers in a row.
+  void sendRequest(size_t caller, int failures) {
     RetryBudget& budget = nodes[home[caller]].budget;
     budget.noteRequest(kService);
     requests.push_back(now);
     while (failures-- > 0 && budget.tryAcquireRetry(kService)) {
-      repeats.push_back(now);
+      retries.push_back(now);
     }
   }
 
@@ -131,21 +130,23 @@
     const auto first = std::lower_bound(times.begin(), times.end(), begin);
     return static_cast<double>(std::lower_bound(first, times.end(), begin + width) - first);
   }
-  // The most repeats beyond what any window allows, whose requests are counted in it, in the one before it,
-  // or half a window before it.
+  // The maximum number of retries over what a window allows. Its requests are counted in the window itself,
+  // in the one before it, or half a window earlier, whichever allows most.
   double excess() const {
     double most = 0;
-    for (const absl::Time& begin : repeats) {
+    for (const absl::Time& begin : retries) {
       const absl::Duration width = kWindow;
-      const double asked = std::max({within(requests, begin, width), within(requests, begin - width, width),
-                                     within(requests, begin - width / 2, width)});
-      most = std::max(most, within(repeats, begin, width) - settings.ratio * asked - settings.constant);
+      const double counted_requests =
+          std::max({within(requests, begin, width), within(requests, begin - width, width),
+                    within(requests, begin - width / 2, width)});
+      most = std::max(most,
+                      within(retries, begin, width) - settings.ratio * counted_requests - settings.constant);
     }
     return most;
   }
 };
 
-TEST_CASE("repeats stay within the budget while nodes stop in turn and their callers move") {
+TEST_CASE("retries stay within the budget while nodes stop in turn and their clients move") {
   Site site({0.2, 198, 16}, 79, 460);
   constexpr absl::Duration step = absl::Milliseconds(10);
   size_t next_stopped = 0;
@@ -155,7 +156,7 @@
     const bool fails = tick > 1000;
     for (int request = 0; request < 5; ++request) {
       const size_t caller = static_cast<size_t>(tick * 5 + request) * 7 % site.home.size();
-      site.ask(caller, fails && (tick + request) % 10 < 3 ? 1 : 0);
+      site.sendRequest(caller, fails && (tick + request) % 10 < 3 ? 1 : 0);
     }
     if (tick > 1100 && tick % 7 == 0 && next_stopped < site.nodes.size()) {
       site.stop(next_stopped++);
@@ -167,7 +168,7 @@
   CHECK(site.excess() <= 0);
 }
 
-TEST_CASE("repeats stay within the budget whatever nodes do and callers ask") {
+TEST_CASE("retries stay within the budget for any starts, stops and requests") {
   CHECK(rc::check([] {
     const RetryBudgetSettings settings{0.2, static_cast<double>(*rc::gen::inRange(54, 700)), 16};
     Site site(settings, *rc::gen::inRange<size_t>(2, 80), *rc::gen::inRange<size_t>(20, 400));
@@ -176,16 +177,16 @@
       const size_t node = *rc::gen::inRange<size_t>(0, site.nodes.size());
       const size_t up = static_cast<size_t>(std::count_if(
           site.nodes.begin(), site.nodes.end(), [](const Site::Node& other) { return other.is_up; }));
-      const int what = *rc::gen::inRange(0, 10);
-      if (what == 0) {
+      const int action = *rc::gen::inRange(0, 10);
+      if (action == 0) {
         site.start(node);
-      } else if (what == 1 && up > 1 && site.nodes[node].is_up) {
+      } else if (action == 1 && up > 1 && site.nodes[node].is_up) {
         site.stop(node);
       } else {
-        const int asked = *rc::gen::inRange(1, 60);
+        const int request_count = *rc::gen::inRange(1, 60);
         const int failures = *rc::gen::inRange(0, 3);
-        for (int request = 0; request < asked; ++request) {
-          site.ask(static_cast<size_t>(request * 13 + step) % site.home.size(), failures);
+        for (int request = 0; request < request_count; ++request) {
+          site.sendRequest(static_cast<size_t>(request * 13 + step) % site.home.size(), failures);
         }
       }
     }
@@ -193,61 +194,61 @@
   }));
 }
 
-TEST_CASE("in calm times nearly the whole part that grows with requests is to be had") {
+TEST_CASE("under steady load nearly the whole share that grows with requests is available") {
   Site site({0.2, 54, 16}, 7, 70);
   for (int tick = 0; tick < 3000; ++tick) {
     site.now += absl::Milliseconds(10);
-    site.ask(static_cast<size_t>(tick) % site.home.size(), tick % 2);
+    site.sendRequest(static_cast<size_t>(tick) % site.home.size(), tick % 2);
   }
-  CHECK(static_cast<double>(site.repeats.size()) >= 0.9 * 0.2 * static_cast<double>(site.requests.size()));
+  CHECK(static_cast<double>(site.retries.size()) >= 0.9 * 0.2 * static_cast<double>(site.requests.size()));
 }
 
-// Repeats that the node may send at once.
-int repeatsAtOnce(RetryBudget budget) {
-  int repeats = 0;
+// Retries that the node may send at once.
+int retriesAtOnce(RetryBudget budget) {
+  int retries = 0;
   while (budget.tryAcquireRetry(kService)) {
-    ++repeats;
+    ++retries;
   }
-  return repeats;
+  return retries;
 }
 
-TEST_CASE("a node that has just started, or knows of no nodes, has no part of the constant") {
+TEST_CASE("a node that has just started, or knows no nodes, has no part of the constant") {
   RetryBudget budget({0.2, 320, 16}, kAnyPhase);
-  CHECK(repeatsAtOnce(budget) == 0);
+  CHECK(retriesAtOnce(budget) == 0);
   for (int request = 0; request < 1000; ++request) {
     budget.noteRequest(kService);
   }
-  CHECK(repeatsAtOnce(budget) == 0);
+  CHECK(retriesAtOnce(budget) == 0);
   budget.noteNodes(20);
-  CHECK(repeatsAtOnce(budget) == 0);
+  CHECK(retriesAtOnce(budget) == 0);
   for (int request = 0; request < 5; ++request) {
     budget.noteRequest(kService);
   }
-  CHECK(repeatsAtOnce(budget) == 1);
+  CHECK(retriesAtOnce(budget) == 1);
   for (int request = 0; request < 1000; ++request) {
     budget.noteRequest(kService);
   }
-  CHECK(repeatsAtOnce(budget) == 10);
+  CHECK(retriesAtOnce(budget) == 10);
 }
 
-// Finding F9: a sixteenth each was a budget five times over at 79 gateways.
+// With a sixteenth for each, 79 gateways had five times the budget.
 TEST_CASE("the constant part is divided by more nodes than are known") {
   RetryBudget budget({0.2, 198, 16}, kAnyPhase);
   budget.noteNodes(79);
   for (int request = 0; request < 1000; ++request) {
     budget.noteRequest(kService);
   }
-  CHECK(repeatsAtOnce(budget) == 1);
+  CHECK(retriesAtOnce(budget) == 1);
 }
 
-TEST_CASE("where nobody has sent a repeat yet, the first request that fails may be repeated") {
+TEST_CASE("on a new site the first request that fails may be retried") {
   RetryBudget budget({0.2, 320, 16, true}, kAnyPhase);
   budget.noteNodes(20);
   budget.noteRequest(kService);
-  CHECK(repeatsAtOnce(budget) == 10);
+  CHECK(retriesAtOnce(budget) == 10);
 }
 
-TEST_CASE("a node that hears of more nodes gives up what its bucket holds too much") {
+TEST_CASE("a node that learns of more nodes drops tokens beyond its new capacity") {
   RetryBudget budget({0.2, 320, 16}, kAnyPhase);
   budget.noteNodes(10);
   for (int request = 0; request < 1000; ++request) {
@@ -258,7 +259,7 @@
   CHECK(budget.left(kService) == 1);
 }
 
-TEST_CASE("a service's repeats are of no concern to another") {
+TEST_CASE("services have independent buckets") {
   RetryBudget budget({1, 16, 16}, kAnyPhase);
   budget.noteNodes(1);
   budget.noteRequest(kService);
@@ -269,15 +270,15 @@
   CHECK(budget.minimumLeft() == 0);
 }
 
-// Of 300 nodes each has a sixth of a repeat at most.
-TEST_CASE("where a node's part is less than one repeat, some nodes still repeat") {
+// With 300 nodes the capacity of each is at most a sixth of a retry.
+TEST_CASE("if a node's part is below one retry, some nodes still retry") {
   Site site({0.2, 80, 16}, 300, 300);
   for (int request = 0; request < 6000; ++request) {
     site.now += absl::Milliseconds(5);
-    site.ask(static_cast<size_t>(request) % site.home.size(), 1);
+    site.sendRequest(static_cast<size_t>(request) % site.home.size(), 1);
   }
-  const auto repeats = static_cast<double>(site.repeats.size());
-  CHECK(repeats >= 0.75 * 0.2 * 6000);
+  const auto retries = static_cast<double>(site.retries.size());
+  CHECK(retries >= 0.75 * 0.2 * 6000);
   CHECK(site.excess() <= 0);
 }
 
--- a/tests/forwarding/server_choice_test.cc
+++ b/tests/forwarding/server_choice_test.cc
@@ -24,7 +24,7 @@
   return entry;
 }
 
-TEST_CASE("requests of many gateways, each of which sends few, spread over all servers of a service") {
+TEST_CASE("requests of many gateways with few requests each spread over all servers of a service") {
   constexpr int servers = 60;
   constexpr int gateways = 200;
   constexpr int requests = 30;  // of a gateway
@@ -39,8 +39,8 @@
       const auto server = chooseServer(directory.ofService(kService), {}, kZone, kNow, random);
       REQUIRE(server != nullptr);
       ++taken[static_cast<size_t>(std::stoi(server->entry.id.substr(2)))];
-      const bool is_trifle = std::uniform_int_distribution<>(0, 4)(random) == 0;
-      ServerDirectory::noteSuccess(*server, is_trifle ? absl::Milliseconds(2) : absl::Milliseconds(62));
+      const bool is_short = std::uniform_int_distribution<>(0, 4)(random) == 0;
+      ServerDirectory::noteSuccess(*server, is_short ? absl::Milliseconds(2) : absl::Milliseconds(62));
     }
   }
   constexpr int mean = gateways * requests / servers;
@@ -48,7 +48,7 @@
   CHECK(*std::max_element(taken.begin(), taken.end()) <= mean * 3);
 }
 
-TEST_CASE("a server that is slow, full, or fails gets less than its like") {
+TEST_CASE("a server that is slow, full or failing gets fewer requests than others") {
   std::mt19937 random(1);
   ServerDirectory directory;
   for (int number = 0; number < 4; ++number) {
--- a/tests/scheduling/urgency_levels_test.cc
+++ b/tests/scheduling/urgency_levels_test.cc
@@ -1,5 +1,5 @@
-// Two classes of one service in a crowd that its engines can't serve in time: the urgent one has the tightest
-// target, so it is the first that is foretold late, and must not wait behind the other one for that.
+// Under overload the most urgent class of a service has the tightest latency target, so it is the first that
+// is predicted to be late. That must not place it behind a less urgent class.
 #include "scheduling/urgency_levels.h"
 
 #include <rapidcheck.h>
@@ -15,15 +15,14 @@
   CHECK(levels.levelOf(2, false) < levels.levelOf(2, true));
 }
 
-TEST_CASE("without any configured urgency the late wait behind the punctual") {
+TEST_CASE("without configured urgencies late requests wait behind punctual ones") {
   const UrgencyLevels levels;
   CHECK(levels.levelOf(5, false) < levels.levelOf(5, true));
 }
 
-// Callers' view: of two requests the one with the greater claim never waits behind the other; where levels
-// run out they may share one.
-TEST_CASE(
-    "whatever is configured, no class waits behind a less urgent one, nor the punctual behind the late") {
+// Of two requests the one with priority never waits behind the other; urgencies beyond the supported levels
+// may share one.
+TEST_CASE("no class waits behind a less urgent one, nor a punctual request behind a late one of its class") {
   CHECK(rc::check(
       [](std::vector<uint32_t> urgencies, uint32_t one, uint32_t other, bool one_late, bool other_late) {
         urgencies.push_back(one);
