--- a/src/forwarding/engine_capability.cc
+++ b/src/forwarding/engine_capability.cc
@@ -40,16 +40,16 @@
   }
   const double trust = decayFactor(std::max(now - told - kFullTrustTime, absl::ZeroDuration()));
   EngineCapability discounted;
-  discounted.read_per_token =
-      kDefaultReadPerToken + (capability.read_per_token - kDefaultReadPerToken) * trust;
+  discounted.prefill_time_per_token =
+      kDefaultPrefillTimePerToken + (capability.prefill_time_per_token - kDefaultPrefillTimePerToken) * trust;
   discounted.pause = capability.pause * trust;
   discounted.pause_deviation = capability.pause_deviation * trust;
   return discounted;
 }
 
 CapabilityEstimator::CapabilityEstimator(const EngineCapability& initial, absl::Time now) : decayed_at_(now) {
-  read_tokens_ = kPriorTokens;
-  read_seconds_ = absl::ToDoubleSeconds(initial.read_per_token) * read_tokens_;
+  prefill_tokens_ = kPriorTokens;
+  prefill_seconds_ = absl::ToDoubleSeconds(initial.prefill_time_per_token) * prefill_tokens_;
   if (initial.pause > absl::ZeroDuration()) {
     pauses_ = kMinPauses;
     pause_seconds_ = absl::ToDoubleSeconds(initial.pause) * pauses_;
@@ -59,11 +59,11 @@
 
 void CapabilityEstimator::notePrefillDone(uint64_t tokens, absl::Duration took, absl::Time now) {
   decayTo(now);
-  const double expected = absl::ToDoubleSeconds(kDefaultReadPerToken) * static_cast<double>(tokens);
+  const double expected = absl::ToDoubleSeconds(kDefaultPrefillTimePerToken) * static_cast<double>(tokens);
   const double seconds =
       std::clamp(absl::ToDoubleSeconds(took), expected / kMaxSpeedRatio, expected * kMaxSpeedRatio);
-  read_tokens_ += static_cast<double>(tokens);
-  read_seconds_ += seconds;
+  prefill_tokens_ += static_cast<double>(tokens);
+  prefill_seconds_ += seconds;
 }
 
 void CapabilityEstimator::notePause(absl::Duration longest, absl::Time now) {
@@ -78,8 +78,8 @@
 void CapabilityEstimator::decayTo(absl::Time now) {
   const double factor = decayed_at_ == absl::InfinitePast() ? 0 : decayFactor(now - decayed_at_);
   decayed_at_ = now;
-  read_tokens_ *= factor;
-  read_seconds_ *= factor;
+  prefill_tokens_ *= factor;
+  prefill_seconds_ *= factor;
   pauses_ *= factor;
   pause_seconds_ *= factor;
   deviation_seconds_ *= factor;
@@ -89,9 +89,9 @@
   CapabilityEstimator decayed = *this;
   decayed.decayTo(now);
   EngineCapability result;
-  const double prior_seconds = absl::ToDoubleSeconds(kDefaultReadPerToken) * kPriorTokens;
-  result.read_per_token =
-      absl::Seconds((decayed.read_seconds_ + prior_seconds) / (decayed.read_tokens_ + kPriorTokens));
+  const double prior_seconds = absl::ToDoubleSeconds(kDefaultPrefillTimePerToken) * kPriorTokens;
+  result.prefill_time_per_token =
+      absl::Seconds((decayed.prefill_seconds_ + prior_seconds) / (decayed.prefill_tokens_ + kPriorTokens));
   // With fewer than kMinPauses left, the pause decays to zero, which means unknown.
   if (decayed.pauses_ > 0) {
     const double trust = std::min(1.0, decayed.pauses_ / kMinPauses);
--- a/src/forwarding/engine_capability.h
+++ b/src/forwarding/engine_capability.h
@@ -15,14 +15,14 @@
 
 // Time to prefill a token on an engine of which nothing is known. Current engines are specified with 26 to
 // 32 us.
-inline constexpr absl::Duration kDefaultReadPerToken = absl::Microseconds(26);
+inline constexpr absl::Duration kDefaultPrefillTimePerToken = absl::Microseconds(26);
 
 // Weight of this default beside samples, in tokens, about two short prompts: a single sample changes little.
 inline constexpr double kPriorTokens = 2000;
 
 // As gateways report it to each other.
 struct EngineCapability {
-  absl::Duration read_per_token = kDefaultReadPerToken;
+  absl::Duration prefill_time_per_token = kDefaultPrefillTimePerToken;
   // The longest pause between pieces of a stream: mean and mean deviation over streams. Zero: unknown.
   absl::Duration pause;
   absl::Duration pause_deviation;
@@ -58,8 +58,8 @@
   void decayTo(absl::Time now);
 
   // Sums with exponential decay.
-  double read_seconds_ = 0;
-  double read_tokens_ = 0;
+  double prefill_seconds_ = 0;
+  double prefill_tokens_ = 0;
   double pauses_ = 0;  // count
   double pause_seconds_ = 0;
   double deviation_seconds_ = 0;
--- a/src/forwarding/engine_placement.cc
+++ b/src/forwarding/engine_placement.cc
@@ -138,7 +138,7 @@
   const uint64_t shared_prefill = chain.shared_tokens - cached - fetched;
   const EngineCapability capability = capabilityOf(*server, now);
   result.pause = capability.pause;
-  const double prefill = absl::ToDoubleSeconds(capability.read_per_token);
+  const double prefill = absl::ToDoubleSeconds(capability.prefill_time_per_token);
   const ServerLoad load = server->load(now);
   result.load = loadSeconds(load, server->entry.slots, capability);
   double seconds = prefill * static_cast<double>(chain.all_tokens - chain.shared_tokens);
@@ -166,7 +166,7 @@
     return server.capability.at(now);
   }
   EngineCapability uniform;
-  uniform.read_per_token = settings_.prefill_per_token;
+  uniform.prefill_time_per_token = settings_.prefill_per_token;
   return uniform;
 }
 
@@ -199,7 +199,7 @@
   const absl::Duration for_slot =
       std::max(mean_slot_time_ * waiting / slot_count, settings_.wait_for_slot * waiting);
   double seconds =
-      absl::ToDoubleSeconds(capability.read_per_token) * static_cast<double>(load.prefill_tokens);
+      absl::ToDoubleSeconds(capability.prefill_time_per_token) * static_cast<double>(load.prefill_tokens);
   seconds += absl::ToDoubleSeconds(for_slot);
   seconds += load.running >= slot_count * settings_.full_requests_per_slot ? kFullEnginePenaltySeconds : 0;
   seconds += kCrowdingPenaltySeconds * load.running / slot_count;
@@ -308,7 +308,7 @@
     }
   }
   choice.fetched_tokens = most - choice.cached_tokens;
-  choice.read_tokens = chain.all_tokens - most;
+  choice.uncached_tokens = chain.all_tokens - most;
   choice.shared_tokens = chain.shared_tokens;
   const bool is_stored = settings_.switches.cache_stores && chain.shared_tokens >= kMinTokensToStore;
   const CacheStoreTraits* const cache_store = is_stored ? cacheStoreFor(chain, cache_stores) : nullptr;
--- a/src/forwarding/engine_placement.h
+++ b/src/forwarding/engine_placement.h
@@ -50,7 +50,7 @@
 struct EnginePlacementSettings {
   ZoneName zone;  // this node's
   PlacementSwitches switches;
-  absl::Duration prefill_per_token = kDefaultReadPerToken;
+  absl::Duration prefill_per_token = kDefaultPrefillTimePerToken;
   absl::Duration transfer_per_token = absl::Microseconds(16);  // fetched from another engine or a store
   absl::Duration transfer_overhead = absl::Milliseconds(2);    // of each fetch
   // Weight of prefilling a shared part again, which costs other requests more than this one's time.
@@ -99,10 +99,10 @@
   ServerDirectory::ServerPointer server;
   WeightsVersion version;
   std::string salt;
-  uint64_t cached_tokens = 0;   // believed to be cached there
-  uint64_t fetched_tokens = 0;  // expected to be fetched
-  uint64_t read_tokens = 0;     // to be prefilled there
-  uint64_t shared_tokens = 0;   // of all parts but the request's own
+  uint64_t cached_tokens = 0;    // believed to be cached there
+  uint64_t fetched_tokens = 0;   // expected to be fetched
+  uint64_t uncached_tokens = 0;  // to be prefilled there
+  uint64_t shared_tokens = 0;    // of all parts but the request's own
   std::optional<Address> cache_source;
   std::optional<Address> cache_target;
   std::vector<BlockKey> shared_keys;  // of the shared parts, in order
--- a/src/forwarding/event_splitter.h
+++ b/src/forwarding/event_splitter.h
@@ -19,7 +19,7 @@
   // Returns the events that `bytes` completes.
   std::vector<StreamEvent> take(std::string_view bytes);
   // The bytes after the last complete event.
-  const std::string& rest() const { return remainder_; }
+  const std::string& remainder() const { return remainder_; }
 
  private:
   std::string remainder_;
--- a/src/forwarding/occupancy_tracker.cc
+++ b/src/forwarding/occupancy_tracker.cc
@@ -112,7 +112,7 @@
     if (is_prefill_pending) {
       const absl::Duration elapsed_per_token =
           (now - reservation.reserved_at) / (static_cast<double>(reservation.tokens_ahead) + kPriorTokens);
-      capability.read_per_token = std::max(capability.read_per_token, elapsed_per_token);
+      capability.prefill_time_per_token = std::max(capability.prefill_time_per_token, elapsed_per_token);
     }
   }
   return capability;
--- a/src/gateway/capability_message.cc
+++ b/src/gateway/capability_message.cc
@@ -18,7 +18,7 @@
 CapabilityMessage messageOf(const forwarding::EngineCapability& capability) {
   CapabilityMessage message;
   message.read_ns_per_token = static_cast<uint32_t>(
-      std::clamp<int64_t>(absl::ToInt64Nanoseconds(capability.read_per_token), kLeastNs, kMostNs));
+      std::clamp<int64_t>(absl::ToInt64Nanoseconds(capability.prefill_time_per_token), kLeastNs, kMostNs));
   message.pause_ms = millisecondsOf(capability.pause);
   message.pause_deviation_ms = millisecondsOf(capability.pause_deviation);
   return message;
@@ -29,7 +29,7 @@
     return fail(ErrorCode::kInvalidArgument, "no engine reads a token in that time");
   }
   forwarding::EngineCapability capability;
-  capability.read_per_token = absl::Nanoseconds(message.read_ns_per_token);
+  capability.prefill_time_per_token = absl::Nanoseconds(message.read_ns_per_token);
   capability.pause = absl::Milliseconds(message.pause_ms);
   capability.pause_deviation = absl::Milliseconds(message.pause_deviation_ms);
   return capability;
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -216,8 +216,8 @@
   if (gives_way_ && place_) {
     core_.occupancy->release(*std::exchange(place_, std::nullopt));
   }
-  counted_ =
-      gives_way_ ? forwarding::ServerLoad() : forwarding::ServerLoad{1, engine_ ? engine_->read_tokens : 0};
+  counted_ = gives_way_ ? forwarding::ServerLoad()
+                        : forwarding::ServerLoad{1, engine_ ? engine_->uncached_tokens : 0};
   if (ledger_.isNextRetry()) {
     core_.metrics.countRetry();
     if (head_passed_) {
@@ -225,7 +225,8 @@
     }
   }
   if (engine_) {
-    core_.metrics.countPromptTokens(engine_->cached_tokens, engine_->fetched_tokens, engine_->read_tokens);
+    core_.metrics.countPromptTokens(engine_->cached_tokens, engine_->fetched_tokens,
+                                    engine_->uncached_tokens);
   }
   server_->back_pressure->noteSent(attempt_began_);
   server_->own.running += counted_.running;
@@ -417,7 +418,7 @@
     line.with("weights", static_cast<int64_t>(engine_->version.value()))
         .with("kept", static_cast<int64_t>(engine_->cached_tokens))
         .with("moved", static_cast<int64_t>(engine_->fetched_tokens))
-        .with("read", static_cast<int64_t>(engine_->read_tokens))
+        .with("read", static_cast<int64_t>(engine_->uncached_tokens))
         .with("shared", static_cast<int64_t>(engine_->shared_tokens));
   }
   AnswerSink* const sink = std::exchange(sink_, nullptr);
--- a/src/gateway/exchange_answer.cc
+++ b/src/gateway/exchange_answer.cc
@@ -231,10 +231,10 @@
   if (sink_ == nullptr) {
     return;
   }
-  const std::string& rest =
-      route_->kind == RepeatKind::kStream && kept_body_.empty() ? events_.rest() : kept_body_;
-  if (!rest.empty()) {
-    sink_->sendBody(rest);
+  const std::string& remainder =
+      route_->kind == RepeatKind::kStream && kept_body_.empty() ? events_.remainder() : kept_body_;
+  if (!remainder.empty()) {
+    sink_->sendBody(remainder);
   }
 }
 
--- a/src/gateway/exchange_placement.cc
+++ b/src/gateway/exchange_placement.cc
@@ -45,7 +45,7 @@
   is_place_answered_ = false;
   const uint32_t turn = ++place_turn_;
   const uint64_t question =
-      core_.occupancy->reserve(*server_, engine_->read_tokens, most, [this](const PlaceAnswer& answer) {
+      core_.occupancy->reserve(*server_, engine_->uncached_tokens, most, [this](const PlaceAnswer& answer) {
         const auto self = shared_from_this();
         takePlace(answer);
       });
--- a/src/gateway/occupancy_exchange.cc
+++ b/src/gateway/occupancy_exchange.cc
@@ -23,7 +23,7 @@
   const auto differs = [](absl::Duration one, absl::Duration other) {
     return absl::AbsDuration(one - other) > kWorthTelling * other;
   };
-  return differs(now.read_per_token, told.read_per_token) || differs(now.pause, told.pause);
+  return differs(now.prefill_time_per_token, told.prefill_time_per_token) || differs(now.pause, told.pause);
 }
 
 }  // namespace
--- a/tests/forwarding/engine_capability_test.cc
+++ b/tests/forwarding/engine_capability_test.cc
@@ -29,17 +29,17 @@
   const absl::Time now = prefillFor(estimator, absl::Seconds(4), kSlow, kNow);
   // An error of 10 % shifts the first piece of a long prompt, 9,000 tokens, by 45 ms: less than the wait for
   // one other prompt.
-  CHECK(absl::AbsDuration(estimator.at(now).read_per_token - kSlow) < kSlow / 10);
+  CHECK(absl::AbsDuration(estimator.at(now).prefill_time_per_token - kSlow) < kSlow / 10);
 }
 
 TEST_CASE("one sample changes little, and a slow period is forgotten within seconds") {
   CapabilityEstimator estimator;
-  absl::Time now = prefillFor(estimator, absl::Seconds(5), kDefaultReadPerToken, kNow);
+  absl::Time now = prefillFor(estimator, absl::Seconds(5), kDefaultPrefillTimePerToken, kNow);
   estimator.notePrefillDone(3000, kSlow * 3000, now);
-  CHECK(estimator.at(now).read_per_token < kDefaultReadPerToken * 1.1);
+  CHECK(estimator.at(now).prefill_time_per_token < kDefaultPrefillTimePerToken * 1.1);
   now = prefillFor(estimator, absl::Seconds(1), kSlow, now);
-  now = prefillFor(estimator, absl::Seconds(8), kDefaultReadPerToken, now);
-  CHECK(estimator.at(now).read_per_token < kDefaultReadPerToken * 1.1);
+  now = prefillFor(estimator, absl::Seconds(8), kDefaultPrefillTimePerToken, now);
+  CHECK(estimator.at(now).prefill_time_per_token < kDefaultPrefillTimePerToken * 1.1);
 }
 
 TEST_CASE("an estimate without new samples decays, so that an engine that was avoided is tried again") {
@@ -76,8 +76,8 @@
                                 absl::Milliseconds(*rc::gen::inRange(0, 100'000)), now);
       estimator.notePause(absl::Milliseconds(*rc::gen::inRange(0, 100'000)), now);
       const EngineCapability reported = estimator.at(now);
-      RC_ASSERT(reported.read_per_token >= kDefaultReadPerToken / 20);
-      RC_ASSERT(reported.read_per_token <= kDefaultReadPerToken * 20);
+      RC_ASSERT(reported.prefill_time_per_token >= kDefaultPrefillTimePerToken / 20);
+      RC_ASSERT(reported.prefill_time_per_token <= kDefaultPrefillTimePerToken * 20);
       RC_ASSERT(reported.pause >= absl::ZeroDuration());
       const double chance = reported.probabilityOfPauseOver(absl::Milliseconds(300));
       RC_ASSERT(chance >= 0.0);
@@ -99,11 +99,11 @@
   for (uint64_t number = 0; number < 10; ++number) {
     serve(number, true, absl::Seconds(1));
   }
-  CHECK(tracker.capability(7, now).read_per_token == kDefaultReadPerToken);
+  CHECK(tracker.capability(7, now).prefill_time_per_token == kDefaultPrefillTimePerToken);
   for (uint64_t number = 10; number < 30; ++number) {
     serve(number, false, kSlow * 3000);
   }
-  CHECK(tracker.capability(7, now).read_per_token > kSlow * 0.9);
+  CHECK(tracker.capability(7, now).prefill_time_per_token > kSlow * 0.9);
   CHECK(tracker.capability(7, now).pause > absl::Milliseconds(350));
 }
 
@@ -111,13 +111,13 @@
   OccupancyTracker tracker;
   tracker.reserve({7, NodeId("g"), 1}, 3000, false, kNow);
   const auto overdue = [&](absl::Time now) {
-    return tracker.withOverdue(7, tracker.capability(7, now), now).read_per_token;
+    return tracker.withOverdue(7, tracker.capability(7, now), now).prefill_time_per_token;
   };
   // While the prefill may still be running, the estimate is unchanged.
-  CHECK(overdue(kNow + absl::Milliseconds(78)) == kDefaultReadPerToken);
+  CHECK(overdue(kNow + absl::Milliseconds(78)) == kDefaultPrefillTimePerToken);
   // A second later a prompt in front counts as eight times its prefill time, so other engines are preferred.
-  CHECK(overdue(kNow + absl::Seconds(1)) > kDefaultReadPerToken * 7);
-  CHECK(tracker.capability(7, kNow + absl::Seconds(1)).read_per_token == kDefaultReadPerToken);
+  CHECK(overdue(kNow + absl::Seconds(1)) > kDefaultPrefillTimePerToken * 7);
+  CHECK(tracker.capability(7, kNow + absl::Seconds(1)).prefill_time_per_token == kDefaultPrefillTimePerToken);
 }
 
 TEST_CASE("a lost message about a finished prefill does not make an engine look slow") {
@@ -132,12 +132,12 @@
 TEST_CASE("the next owner starts with the previous owner's estimate") {
   OccupancyTracker tracker;
   EngineCapability reported;
-  reported.read_per_token = kSlow;
+  reported.prefill_time_per_token = kSlow;
   reported.pause = absl::Milliseconds(400);
   reported.pause_deviation = absl::Milliseconds(50);
   tracker.begin(7, reported, kNow);
   CHECK(tracker.capability(7, kNow).pause == absl::Milliseconds(400));
-  CHECK(tracker.capability(7, kNow).read_per_token > kDefaultReadPerToken * 1.4);
+  CHECK(tracker.capability(7, kNow).prefill_time_per_token > kDefaultPrefillTimePerToken * 1.4);
   tracker.begin(7, EngineCapability(), kNow);
   CHECK(tracker.capability(7, kNow).pause == absl::Milliseconds(400));
 }
--- a/tests/forwarding/engine_placement_test.cc
+++ b/tests/forwarding/engine_placement_test.cc
@@ -63,7 +63,7 @@
   REQUIRE(second);
   CHECK(second->server == first->server);
   CHECK(second->cached_tokens == 6200);
-  CHECK(second->read_tokens == 900);
+  CHECK(second->uncached_tokens == 900);
 }
 
 TEST_CASE("sessions spread over the engines") {
--- a/tests/forwarding/event_splitter_test.cc
+++ b/tests/forwarding/event_splitter_test.cc
@@ -27,7 +27,7 @@
       begin += size;
     }
     RC_ASSERT(joined == stream);
-    RC_ASSERT(splitter.rest().empty());
+    RC_ASSERT(splitter.remainder().empty());
     RC_ASSERT(events.size() == ids.size());
     for (size_t index = 0; index < ids.size(); ++index) {
       RC_ASSERT(events[index].id == std::optional<uint64_t>(ids[index]));
@@ -38,7 +38,7 @@
 TEST_CASE("an incomplete event is held back") {
   EventSplitter splitter;
   CHECK(splitter.take("id: 1\ndata: a\n\nid: 2\ndata: b\n").size() == 1);
-  CHECK(splitter.rest() == "id: 2\ndata: b\n");
+  CHECK(splitter.remainder() == "id: 2\ndata: b\n");
 }
 
 TEST_CASE("an id that is not an integer is ignored") {
--- a/tests/gateway/occupancy_messages_test.cc
+++ b/tests/gateway/occupancy_messages_test.cc
@@ -53,7 +53,7 @@
 
 TEST_CASE("what an engine can do reads back as it was told") {
   forwarding::EngineCapability capability;
-  capability.read_per_token = absl::Microseconds(41);
+  capability.prefill_time_per_token = absl::Microseconds(41);
   capability.pause = absl::Milliseconds(320);
   capability.pause_deviation = absl::Milliseconds(75);
   CHECK(capabilityFrom(messageOf(capability)).value() == capability);
