--- a/src/forwarding/confirmation_schedule.cc
+++ b/src/forwarding/confirmation_schedule.cc
@@ -4,7 +4,7 @@
 
 bool ConfirmationSchedule::isDue(absl::Duration bound, absl::Time confirmed,
                                  absl::FunctionRef<bool()> hears_reader, absl::Time now) const {
-  if (now - confirmed < oldestTrusted(bound) || now - last_asked_ < questionLimit(bound)) {
+  if (now - confirmed < maxTrustedAge(bound) || now - last_asked_ < confirmationTimeout(bound)) {
     return false;
   }
   return now - last_asked_ >= bound || hears_reader();
--- a/src/forwarding/confirmation_schedule.h
+++ b/src/forwarding/confirmation_schedule.h
@@ -12,15 +12,15 @@
  public:
   // How old a configuration may be until a newer confirmation is looked for. `bound`: within which a
   // configuration has to be in force.
-  static absl::Duration oldestTrusted(absl::Duration bound) { return bound * 2 / 3; }
+  static absl::Duration maxTrustedAge(absl::Duration bound) { return bound * 2 / 3; }
   // How long a question may take. What is left of the bound is enough for one.
-  static absl::Duration questionLimit(absl::Duration bound) { return bound / 3; }
+  static absl::Duration confirmationTimeout(absl::Duration bound) { return bound / 3; }
 
   // `confirmed`: the configuration in force, last. `hears_reader`: whether the store is known to answer
   // somebody; while it answers nobody, all gateways together ask it rarely.
   bool isDue(absl::Duration bound, absl::Time confirmed, absl::FunctionRef<bool()> hears_reader,
              absl::Time now) const;
-  void noteAsked(absl::Time now) { last_asked_ = now; }
+  void noteRequested(absl::Time now) { last_asked_ = now; }
 
  private:
   absl::Time last_asked_ = absl::InfinitePast();
--- a/src/forwarding/engine_placement.cc
+++ b/src/forwarding/engine_placement.cc
@@ -225,7 +225,7 @@
     const bool is_excluded =
         std::find(excluded.begin(), excluded.end(), server->identity_hash) != excluded.end();
     const std::optional<WeightsVersion> version = server->versionOf(request.model);
-    if (!is_excluded && server->takesWork(now) && version && *version >= required) {
+    if (!is_excluded && server->isEligible(now) && version && *version >= required) {
       candidates.push_back({server, *version, routing::rendezvousWeight(home, server->home_hash),
                             routing::rendezvousWeight(draw, server->identity_hash)});
     }
--- a/src/forwarding/lapsed_entries.h
+++ b/src/forwarding/lapsed_entries.h
@@ -20,15 +20,15 @@
   // The list was read, by this node or for it. The first reading after an outage ends it.
   void noteReading(absl::Time now);
   // Peers are heard, and none of them reads the list, nor does this node.
-  void noteAway() { is_away_ = true; }
+  void noteStoreOutage() { is_away_ = true; }
   // Whether an outage lasts, or ended so lately that a missing entry may still come back.
-  bool mayComeBack(absl::Time now) const { return now < awaited_until_ || isOutage(now); }
+  bool mayReappear(absl::Time now) const { return now < awaited_until_ || isOutage(now); }
   // The server's entry is missing: it is awaited. It keeps its place while that lasts.
   void await(const std::string& server_id) { awaited_.insert(server_id); }
   // The server's entry is there.
-  void noteThere(const std::string& server_id) { awaited_.erase(server_id); }
+  void notePresent(const std::string& server_id) { awaited_.erase(server_id); }
   // Servers that were awaited in vain, each once: they are gone.
-  std::vector<std::string> takeGone(absl::Time now);
+  std::vector<std::string> takeLapsed(absl::Time now);
 
  private:
   bool isOutage(absl::Time now) const;
--- a/src/forwarding/order_lease.cc
+++ b/src/forwarding/order_lease.cc
@@ -15,10 +15,10 @@
 namespace quincewick::forwarding {
 namespace {
 
-constexpr absl::Duration kTakeMargin = absl::Milliseconds(100);    // after the end of another's lease
-constexpr absl::Duration kOrderMargin = absl::Milliseconds(1000);  // before the end of the own one
+constexpr absl::Duration kAcquireMargin = absl::Milliseconds(100);  // after the end of another's lease
+constexpr absl::Duration kOrderMargin = absl::Milliseconds(1000);   // before the end of the own one
 // Datagrams that tell of a holder may take so long; a holder tells none after its lease's end.
-constexpr absl::Duration kNewsDelay = absl::Milliseconds(500);
+constexpr absl::Duration kMaxReportDelay = absl::Milliseconds(500);
 
 // A fence is the store's era, its clock in these units, and bits that differ between holders, highest first.
 constexpr absl::Duration kFenceUnit = absl::Milliseconds(100);
@@ -37,7 +37,7 @@
 }
 
 // The store's clock when a holder took the lease under a fence of its own, or a little later.
-absl::Duration clockOf(Epoch fence) {
+absl::Duration acquisitionClock(Epoch fence) {
   const uint64_t units = (fence.value() >> kHolderBits) & kClockMask;
   return static_cast<int64_t>(units + 1) * kFenceUnit;
 }
@@ -58,9 +58,9 @@
   const std::vector<std::string> parts = absl::StrSplit(text, ' ');
   uint64_t fence = 0;
   int64_t until = 0;
-  const bool is_whole = parts.size() == 3 && absl::SimpleAtoi(parts[1], &fence) && fence <= kHighestFence &&
-                        absl::SimpleAtoi(parts[2], &until);
-  if (!is_whole) {
+  const bool is_well_formed = parts.size() == 3 && absl::SimpleAtoi(parts[1], &fence) &&
+                              fence <= kHighestFence && absl::SimpleAtoi(parts[2], &until);
+  if (!is_well_formed) {
     return std::nullopt;
   }
   LeaseRecord record{NodeId(parts[0]), Epoch(fence), absl::Milliseconds(until), std::nullopt};
@@ -79,19 +79,19 @@
     : self_(std::move(self)), length_(length), history_(history) {}
 
 std::optional<LeaseWrite> OrderLease::onRead(const std::optional<LeaseRecord>& record, uint64_t version,
-                                             const StoreMoment& moment, absl::Time holder_heard) {
+                                             const StoreCallTiming& moment, absl::Time holder_last_seen) {
   held_ = false;
   last_moment_ = moment;
   highest_fence_ = std::max(highest_fence_, record ? record->fence : Epoch());
   // No holder's end is as far ahead as that: the clock was put back, or the record is spoilt.
-  const bool is_absurd = record && record->until > moment.store_clock + 2 * length_;
-  const bool is_free =
-      !record || is_absurd || record->holder == self_ || moment.store_clock > record->until + kTakeMargin;
+  const bool is_implausible = record && record->until > moment.store_clock + 2 * length_;
+  const bool is_free = !record || is_implausible || record->holder == self_ ||
+                       moment.store_clock > record->until + kAcquireMargin;
   if (!is_free) {
     return std::nullopt;
   }
   const Epoch fence = nextFence(moment.store_clock);
-  first_order_ = firstOrder(record, version, moment, holder_heard);
+  first_order_ = firstOrderTime(record, version, moment, holder_last_seen);
   first_own_fence_ = record && isOfThisProcess(*record) ? first_own_fence_ : fence;
   generation_ = history_.generation();
   era_ = history_.era();
@@ -108,43 +108,46 @@
   return Epoch((std::max(by_store, above_known) << kHolderBits) | holderBits(self_));
 }
 
-absl::Time OrderLease::firstOrder(const std::optional<LeaseRecord>& record, uint64_t version,
-                                  const StoreMoment& moment, absl::Time holder_heard) const {
+absl::Time OrderLease::firstOrderTime(const std::optional<LeaseRecord>& record, uint64_t version,
+                                      const StoreCallTiming& moment, absl::Time holder_last_seen) const {
   absl::Time first = moment.ended;
   if (record) {
-    first = std::max(first, firstOrderByRecord(*record, moment));
+    first = std::max(first, firstOrderTimeByRecord(*record, moment));
   }
   // It may have replaced the last holder's record: a write of an era that is over may be done late.
-  const bool may_hide_holder = record ? record->era && record->era != history_.era() : version > 0;
-  if (may_hide_holder) {
-    first = std::max(first, moment.ended + longestWait());
+  const bool may_mask_holder = record ? record->era && record->era != history_.era() : version > 0;
+  if (may_mask_holder) {
+    first = std::max(first, moment.ended + maxHolderWait());
   }
   const bool proves_holder = record && record->era && record->era == history_.era();
   if (!proves_holder) {
-    first = std::max(first, history_.unbrokenSince() + longestWait());
+    first = std::max(first, history_.continuousSince() + maxHolderWait());
   }
   const absl::Time end = record ? moment.ended + (record->until - moment.store_clock) : absl::InfinitePast();
-  if (holder_heard > end + kNewsDelay) {
-    first = std::max(first, holder_heard + longestWait());  // the record is not the last holder's
+  if (holder_last_seen > end + kMaxReportDelay) {
+    first = std::max(first, holder_last_seen + maxHolderWait());  // the record is not the last holder's
   }
   return first;
 }
 
-absl::Duration OrderLease::longestWait() const {
+absl::Duration OrderLease::maxHolderWait() const {
   return 2 * length_ - kOrderMargin;
 }
 
-absl::Time OrderLease::firstOrderByRecord(const LeaseRecord& record, const StoreMoment& moment) const {
+absl::Time OrderLease::firstOrderTimeByRecord(const LeaseRecord& record,
+                                              const StoreCallTiming& moment) const {
   if (isOfThisProcess(record)) {
     return first_order_;
   }
   // An earlier life may have been waiting for the holder before it, since its take: for a forgotten one only
   // where the store can go back, which then tells eras.
-  const bool tells_take = record.holder == self_ && (record.fence.value() & kHolderMask) == holderBits(self_);
-  const absl::Duration longest_since_take = record.era ? longestWait() : length_ - kOrderMargin;
-  const absl::Duration wait = tells_take ? clockOf(record.fence) + longest_since_take - moment.store_clock
-                                         : record.until + length_ - kOrderMargin - moment.store_clock;
-  return moment.ended + std::min(wait, longestWait());
+  const bool has_acquisition_time =
+      record.holder == self_ && (record.fence.value() & kHolderMask) == holderBits(self_);
+  const absl::Duration max_wait_since_acquisition = record.era ? maxHolderWait() : length_ - kOrderMargin;
+  const absl::Duration wait =
+      has_acquisition_time ? acquisitionClock(record.fence) + max_wait_since_acquisition - moment.store_clock
+                           : record.until + length_ - kOrderMargin - moment.store_clock;
+  return moment.ended + std::min(wait, maxHolderWait());
 }
 
 bool OrderLease::isOfThisProcess(const LeaseRecord& record) const {
@@ -152,10 +155,10 @@
 }
 
 LeaseWrite OrderLease::prepare(Epoch fence, absl::Duration until, uint64_t version, absl::Time valid_until) {
-  written_ = {{self_, fence, until, era_}, version};
+  pending_write_ = {{self_, fence, until, era_}, version};
   highest_fence_ = std::max(highest_fence_, fence);
-  written_valid_until_ = valid_until;
-  return written_;
+  pending_valid_until_ = valid_until;
+  return pending_write_;
 }
 
 std::optional<LeaseWrite> OrderLease::renew(absl::Time now) {
@@ -168,15 +171,15 @@
                  now + length_ - (last_moment_.ended - last_moment_.began));
 }
 
-void OrderLease::onWritten(uint64_t version, const StoreMoment& moment) {
+void OrderLease::onWritten(uint64_t version, const StoreCallTiming& moment) {
   held_ = true;
-  record_ = written_.record;
+  record_ = pending_write_.record;
   version_ = version;
-  valid_until_ = written_valid_until_;
+  valid_until_ = pending_valid_until_;
   last_moment_ = moment;
 }
 
-void OrderLease::onNotWritten() {
+void OrderLease::onWriteFailed() {
   held_ = false;
 }
 
--- a/src/forwarding/order_lease.h
+++ b/src/forwarding/order_lease.h
@@ -34,7 +34,7 @@
 std::optional<LeaseRecord> parseLeaseRecord(const std::string& text);
 
 // An answer of the store: its clock, and when the call began and ended by this node's clock.
-struct StoreMoment {
+struct StoreCallTiming {
   absl::Duration store_clock;
   absl::Time began;
   absl::Time ended;
@@ -52,15 +52,17 @@
   OrderLease(NodeId self, absl::Duration length, const StoreHistory& history);
 
   // The row as it is (nothing: it isn't there, or can't be read and has a version). Returns what to write to
-  // take the lease; nothing while another holds it. `holder_heard`: when another was last heard to hold it.
+  // take the lease; nothing while another holds it. `holder_last_seen`: when another was last heard to hold
+  // it.
   std::optional<LeaseWrite> onRead(const std::optional<LeaseRecord>& record, uint64_t version,
-                                   const StoreMoment& moment, absl::Time holder_heard = absl::InfinitePast());
+                                   const StoreCallTiming& moment,
+                                   absl::Time holder_last_seen = absl::InfinitePast());
   // What to write to go on holding it; nothing where it is not held.
   std::optional<LeaseWrite> renew(absl::Time now);
   // The last write was done and the row has this version.
-  void onWritten(uint64_t version, const StoreMoment& moment);
+  void onWritten(uint64_t version, const StoreCallTiming& moment);
   // The last write was not done, or it is not known whether it was.
-  void onNotWritten();
+  void onWriteFailed();
 
   // Whether the row is held, as far as this node knows.
   bool holds(absl::Time now) const;
@@ -75,12 +77,12 @@
 
  private:
   Epoch nextFence(absl::Duration store_clock) const;
-  absl::Time firstOrder(const std::optional<LeaseRecord>& record, uint64_t version, const StoreMoment& moment,
-                        absl::Time holder_heard) const;
+  absl::Time firstOrderTime(const std::optional<LeaseRecord>& record, uint64_t version,
+                            const StoreCallTiming& moment, absl::Time holder_last_seen) const;
   // After a moment at which another may have renewed its lease for the last time.
-  absl::Duration longestWait() const;
+  absl::Duration maxHolderWait() const;
   // After the last holder's end, as far as its record tells.
-  absl::Time firstOrderByRecord(const LeaseRecord& record, const StoreMoment& moment) const;
+  absl::Time firstOrderTimeByRecord(const LeaseRecord& record, const StoreCallTiming& moment) const;
   // Written by this process, and no other's take came between.
   bool isOfThisProcess(const LeaseRecord& record) const;
   LeaseWrite prepare(Epoch fence, absl::Duration until, uint64_t version, absl::Time valid_until);
@@ -97,9 +99,9 @@
   uint64_t generation_ = 0;      // of the store's history, when the row was read for the last take
   std::optional<uint64_t> era_;  // the same
   absl::Time first_order_ = absl::InfinitePast();
-  StoreMoment last_moment_;
-  LeaseWrite written_;  // under way
-  absl::Time written_valid_until_ = absl::InfinitePast();
+  StoreCallTiming last_moment_;
+  LeaseWrite pending_write_;  // under way
+  absl::Time pending_valid_until_ = absl::InfinitePast();
 };
 
 }  // namespace quincewick::forwarding
--- a/src/forwarding/reader_election.cc
+++ b/src/forwarding/reader_election.cc
@@ -10,27 +10,27 @@
 namespace {
 
 // A better reader must be heard for so long before this one gives way.
-constexpr absl::Duration kGiveWayAfter = absl::Milliseconds(700);
+constexpr absl::Duration kYieldAfter = absl::Milliseconds(700);
 // Between the turns of those who may read next. The first few step in quickly, for a reader that went; the
 // others slowly: where the first few get no answers, the store is probably down for all, and each further
 // gateway that asks costs calls and learns nothing new.
 constexpr TurnSchedule kTurns = {absl::Milliseconds(200), 3, absl::Milliseconds(500)};
 // Keys have a bound of their own, which this leaves time under.
-constexpr absl::Duration kOldestReading = absl::Milliseconds(2800);
-constexpr absl::Duration kDistrust = absl::Seconds(3);
+constexpr absl::Duration kMaxConfigurationAge = absl::Milliseconds(2800);
+constexpr absl::Duration kFailedReaderDistrust = absl::Seconds(3);
 // A reader whose rows are too old is noted as such several times a second while that lasts.
-constexpr absl::Duration kOutdatedFor = absl::Milliseconds(300);
+constexpr absl::Duration kStaleReaderDistrust = absl::Milliseconds(300);
 // A reader answers a new follower's first question at once; this is for the way there and back, and for
 // machines that are slow at the moment.
-constexpr absl::Duration kFirstAnswer = absl::Milliseconds(700);
+constexpr absl::Duration kFirstResponseTime = absl::Milliseconds(700);
 
 }  // namespace
 
-absl::Duration ReaderElection::oldestConfiguration(absl::Duration bound) {
-  return std::min(kOldestReading, ConfirmationSchedule::oldestTrusted(bound));
+absl::Duration ReaderElection::maxConfigurationAge(absl::Duration bound) {
+  return std::min(kMaxConfigurationAge, ConfirmationSchedule::maxTrustedAge(bound));
 }
 
-bool ReaderElection::goesBefore(const ReaderCandidate& left, const ReaderCandidate& right) const {
+bool ReaderElection::hasPriorityOver(const ReaderCandidate& left, const ReaderCandidate& right) const {
   return std::tuple(right.capacity, left.id) < std::tuple(left.capacity, right.id);
 }
 
@@ -39,8 +39,8 @@
   return found == failed_.end() || now >= found->second;
 }
 
-bool ReaderElection::followsOutdated(absl::Time as_of, absl::Duration oldest, absl::Time now) const {
-  const bool could_answer = now - follows_since_ >= std::min(kFirstAnswer, oldest / 2);
+bool ReaderElection::followsStaleReader(absl::Time as_of, absl::Duration oldest, absl::Time now) const {
+  const bool could_answer = now - follows_since_ >= std::min(kFirstResponseTime, oldest / 2);
   return role_.follows && could_answer && now - as_of > oldest;
 }
 
@@ -49,13 +49,13 @@
   follows_since_ = now;
 }
 
-void ReaderElection::noteOutdated(const NodeId& reader, absl::Time now) {
+void ReaderElection::noteStaleReader(const NodeId& reader, absl::Time now) {
   absl::Time& distrusted_until = failed_[reader];
-  distrusted_until = std::max(distrusted_until, now + kOutdatedFor);
+  distrusted_until = std::max(distrusted_until, now + kStaleReaderDistrust);
 }
 
 void ReaderElection::noteFailed(const NodeId& reader, absl::Time now) {
-  failed_[reader] = now + kDistrust;
+  failed_[reader] = now + kFailedReaderDistrust;
   role_.follows.reset();
 }
 
@@ -69,13 +69,13 @@
   int64_t turns_before = 0;
   for (const ReaderCandidate& peer : live) {
     const bool is_trusted = isTrusted(peer.id, now);
-    turns_before += is_trusted && goesBefore(peer, self) ? 1 : 0;
+    turns_before += is_trusted && hasPriorityOver(peer, self) ? 1 : 0;
     hears_reader_ = hears_reader_ || peer.reads_well;
     if (!is_trusted || !peer.reads_well) {
       continue;
     }
     followed_reads = followed_reads || role_.follows == peer.id;
-    if (best == nullptr || goesBefore(peer, *best)) {
+    if (best == nullptr || hasPriorityOver(peer, *best)) {
       best = &peer;
     }
   }
@@ -94,9 +94,9 @@
     }
     return role_;
   }
-  const bool is_better = goesBefore(*best, self);
+  const bool is_better = hasPriorityOver(*best, self);
   better_since_ = is_better ? std::min(better_since_, now) : absl::InfiniteFuture();
-  if (!store_answers || now >= better_since_ + kGiveWayAfter) {
+  if (!store_answers || now >= better_since_ + kYieldAfter) {
     follow(best->id, now);
     better_since_ = absl::InfiniteFuture();
   }
--- a/src/forwarding/reader_election.h
+++ b/src/forwarding/reader_election.h
@@ -39,18 +39,18 @@
   // How old a table's rows may be before those who go by them look for another reader. Rows of leaving
   // servers must be known within a bound: half of it is for the reading itself, half for finding another
   // reader, its first reading, and a request's way to its server.
-  static absl::Duration oldestList(absl::Duration drain_bound) { return drain_bound / 2; }
+  static absl::Duration maxServerListAge(absl::Duration drain_bound) { return drain_bound / 2; }
 
   // The same of the operator's rows. `bound`: within which a configuration has to be in force.
-  static absl::Duration oldestConfiguration(absl::Duration bound);
+  static absl::Duration maxConfigurationAge(absl::Duration bound);
 
   // `live`: peers of the zone. `store_answers`: the own calls of the store succeed, as far as known.
   const ReaderRole& decide(const std::vector<ReaderCandidate>& live, bool store_answers, absl::Time now);
   // Whether the reader that is followed has no fresh rows: they are as of too long ago, and it has been
   // followed for long enough to have answered.
-  bool followsOutdated(absl::Time as_of, absl::Duration oldest, absl::Time now) const;
+  bool followsStaleReader(absl::Time as_of, absl::Duration oldest, absl::Time now) const;
   // The reader that was followed has rows that are too old: another one is better.
-  void noteOutdated(const NodeId& reader, absl::Time now);
+  void noteStaleReader(const NodeId& reader, absl::Time now);
   // The reader that was followed does not answer: it is left.
   void noteFailed(const NodeId& reader, absl::Time now);
   const ReaderRole& role() const { return role_; }
@@ -59,7 +59,7 @@
 
  private:
   void follow(const NodeId& reader, absl::Time now);
-  bool goesBefore(const ReaderCandidate& left, const ReaderCandidate& right) const;
+  bool hasPriorityOver(const ReaderCandidate& left, const ReaderCandidate& right) const;
   bool isTrusted(const NodeId& reader, absl::Time now) const;
 
   NodeId self_;
--- a/src/forwarding/rollout_planner.cc
+++ b/src/forwarding/rollout_planner.cc
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr double kSmoothing = 0.3;
-constexpr double kShareForLoads = 0.75;  // of the bound; the rest is for what goes wrong
-constexpr absl::Duration kShortestLoad = absl::Milliseconds(300);
-constexpr absl::Duration kLongestLoad = absl::Seconds(4);
+constexpr double kLoadShareOfBound = 0.75;  // of the bound; the rest is for what goes wrong
+constexpr absl::Duration kMinLoadTime = absl::Milliseconds(300);
+constexpr absl::Duration kMaxLoadTime = absl::Seconds(4);
 
 // Loads at once: as many as go at full speed, or the fewest that bring all engines there within their share
 // of the bound.
@@ -17,11 +17,12 @@
                      const RolloutSettings& settings) {
   const auto time_for = [&](uint32_t loads) {
     const size_t rounds = (engines + loads - 1) / loads;
-    return (settings.emptying + load_time) * static_cast<double>(rounds);
+    return (settings.max_drain_time + load_time) * static_cast<double>(rounds);
   };
-  const auto at_full_speed = static_cast<uint32_t>(settings.share_at_once * static_cast<double>(engines));
-  uint32_t at_once = std::max(settings.fewest_at_once, at_full_speed);
-  while (at_once < settings.most_at_once && time_for(at_once) > within * kShareForLoads) {
+  const auto at_full_speed =
+      static_cast<uint32_t>(settings.concurrent_load_share * static_cast<double>(engines));
+  uint32_t at_once = std::max(settings.min_concurrent_loads, at_full_speed);
+  while (at_once < settings.max_concurrent_loads && time_for(at_once) > within * kLoadShareOfBound) {
     ++at_once;
   }
   return at_once;
@@ -49,27 +50,27 @@
 }
 
 // What each round has for emptying, where the first of them began to be emptied at `began`.
-absl::Duration emptyingOfRound(const std::vector<DueRounds>& due, absl::Time began, absl::Duration load_time,
-                               absl::Duration longest) {
-  absl::Duration emptying = longest;
+absl::Duration drainTimePerRound(const std::vector<DueRounds>& due, absl::Time began,
+                                 absl::Duration load_time, absl::Duration longest) {
+  absl::Duration max_drain_time = longest;
   for (const DueRounds& loads : due) {
-    emptying = std::min(emptying, (loads.done - began) / loads.rounds - load_time);
+    max_drain_time = std::min(max_drain_time, (loads.done - began) / loads.rounds - load_time);
   }
-  return emptying;
+  return max_drain_time;
 }
 
-bool isEmptied(const RolloutEngine& engine, const std::vector<DueRounds>& due, absl::Duration load_time,
+bool isDrained(const RolloutEngine& engine, const std::vector<DueRounds>& due, absl::Duration load_time,
                const RolloutSettings& settings, absl::Time now) {
   const absl::Time began = std::min(engine.reserved_since, now);
-  const absl::Duration emptied = now - began;
-  return emptied >= emptyingOfRound(due, began, load_time, settings.emptying) ||
-         (engine.running == 0 && emptied >= settings.shortest_emptying);
+  const absl::Duration drained = now - began;
+  return drained >= drainTimePerRound(due, began, load_time, settings.max_drain_time) ||
+         (engine.running == 0 && drained >= settings.min_drain_time);
 }
 
 }  // namespace
 
 void LoadTime::note(absl::Duration taken) {
-  expected_ += kSmoothing * (std::clamp(taken, kShortestLoad, kLongestLoad) - expected_);
+  expected_ += kSmoothing * (std::clamp(taken, kMinLoadTime, kMaxLoadTime) - expected_);
 }
 
 RolloutPlan planRollout(const std::vector<RolloutEngine>& engines, const ModelName& model,
@@ -97,9 +98,9 @@
   const std::vector<DueRounds> due = dueRounds(pending, model, weights, at_once, settings.margin);
   absl::Time latest_start = absl::InfiniteFuture();
   for (const DueRounds& loads : due) {
-    latest_start = std::min(latest_start, loads.done - (settings.emptying + load_time) * loads.rounds);
+    latest_start = std::min(latest_start, loads.done - (settings.max_drain_time + load_time) * loads.rounds);
   }
-  latest_start = std::min(latest_start, weights.namedAt(model, newest) + settings.patience);
+  latest_start = std::min(latest_start, weights.namedAt(model, newest) + settings.start_delay);
   plan.next_start = latest_start;
   plan.is_due = now >= latest_start;
   if (!plan.is_due) {
@@ -107,7 +108,7 @@
   }
   const size_t free = at_once > loading ? at_once - loading : 0;
   for (size_t index = 0; index < std::min(pending.size(), free); ++index) {
-    if (isEmptied(pending[index], due, load_time, settings, now)) {
+    if (isDrained(pending[index], due, load_time, settings, now)) {
       plan.order.push_back(pending[index].id);
     } else {
       plan.reserve.push_back(pending[index].id);
--- a/src/forwarding/rollout_planner.h
+++ b/src/forwarding/rollout_planner.h
@@ -33,18 +33,18 @@
 };
 
 struct RolloutSettings {
-  uint32_t fewest_at_once = 2;
-  double share_at_once = 0.2;  // of the engines: so many load at no loss of speed
-  uint32_t most_at_once = 4;   // unless the share is more; only where the bound can't be met otherwise
-  absl::Duration patience = absl::ZeroDuration();  // from a version's naming until its loads begin
+  uint32_t min_concurrent_loads = 2;
+  double concurrent_load_share = 0.2;  // of the engines: so many load at no loss of speed
+  uint32_t max_concurrent_loads = 4;  // unless the share is more; only where the bound can't be met otherwise
+  absl::Duration start_delay = absl::ZeroDuration();  // from a version's naming until its loads begin
   // An engine that is next gets no new requests, so that runs end. It is given its order after so long, or as
   // soon as it is empty: a load holds up what runs. Only as many are emptied as may load at once, for each of
   // them serves nothing meanwhile. Where loads are behind their bound, as after the store was away, there is
   // less time for it or none: an engine that is late may not serve at all.
-  absl::Duration emptying = absl::Milliseconds(400);
+  absl::Duration max_drain_time = absl::Milliseconds(400);
   // Peers may have sent it something before they learnt that it is reserved. Where the time before the bound
   // leaves each round less, it is emptied for that: the bound is a rule, what a load holds up only late.
-  absl::Duration shortest_emptying = absl::Milliseconds(200);
+  absl::Duration min_drain_time = absl::Milliseconds(200);
   absl::Duration margin = absl::Milliseconds(900);  // before the bound
 };
 
--- a/src/forwarding/row_cache.cc
+++ b/src/forwarding/row_cache.cc
@@ -7,37 +7,37 @@
 namespace quincewick::forwarding {
 namespace {
 
-constexpr size_t kGoneAtMost = 512;
+constexpr size_t kMaxDeletedRows = 512;
 
 }  // namespace
 
-TableNews RowCache::take(const TableNews& news) {
-  TableNews effect;
-  effect.is_whole = news.is_whole && !isFilled();
-  const uint64_t changed = news.version > told_version_ ? news.version : told_version_ + 1;
-  takeRows(news, changed, effect.rows);
-  told_version_ = std::max({told_version_, news.version, last_change_});
+TableUpdate RowCache::take(const TableUpdate& update) {
+  TableUpdate effect;
+  effect.is_whole = update.is_whole && !hasSnapshot();
+  const uint64_t changed = update.version > served_version_ ? update.version : served_version_ + 1;
+  applyRows(update, changed, effect.rows);
+  served_version_ = std::max({served_version_, update.version, last_change_});
   if (effect.is_whole) {
-    forgotten_ = told_version_;  // what went before is not known
+    forgotten_version_ = served_version_;  // what went before is not known
   }
-  as_of_ = std::max(as_of_, news.as_of);
-  confirmed_ = std::max(confirmed_, news.confirmed);
+  as_of_ = std::max(as_of_, update.as_of);
+  confirmed_ = std::max(confirmed_, update.confirmed);
   ++readings_;
-  effect.version = told_version_;
-  effect.confirmed = news.confirmed;
+  effect.version = served_version_;
+  effect.confirmed = update.confirmed;
   effect.as_of = as_of_;
   return effect;
 }
 
-void RowCache::takeRows(const TableNews& news, uint64_t changed, std::vector<StoreRow>& effect) {
-  if (news.is_whole) {
-    for (StoreRow& missing : missingFrom(news)) {
+void RowCache::applyRows(const TableUpdate& update, uint64_t changed, std::vector<StoreRow>& effect) {
+  if (update.is_whole) {
+    for (StoreRow& missing : missingFrom(update)) {
       if (drop(missing, changed)) {
         effect.push_back(std::move(missing));
       }
     }
   }
-  for (const StoreRow& row : news.rows) {
+  for (const StoreRow& row : update.rows) {
     const bool has_effect = row.is_gone ? drop(row, changed) : put(row, changed);
     if (has_effect) {
       effect.push_back(row);
@@ -47,14 +47,14 @@
 
 // Rows that were there when the reading began and that it has not: they went. Those written since may have
 // come behind the reading's place.
-std::vector<StoreRow> RowCache::missingFrom(const TableNews& whole) const {
+std::vector<StoreRow> RowCache::missingFrom(const TableUpdate& whole) const {
   absl::flat_hash_set<std::string> read;
   for (const StoreRow& row : whole.rows) {
     read.insert(row.key);
   }
   std::vector<StoreRow> missing;
-  for (const auto& [key, kept] : rows_) {
-    if (!read.contains(key) && kept.row.version <= whole.version) {
+  for (const auto& [key, cached] : rows_) {
+    if (!read.contains(key) && cached.row.version <= whole.version) {
       StoreRow gone;
       gone.key = key;
       gone.version = whole.version;
@@ -66,11 +66,11 @@
 }
 
 bool RowCache::put(const StoreRow& row, uint64_t changed) {
-  const auto went = went_.find(row.key);
-  if (went != went_.end() && went->second > row.version) {
+  const auto deleted_version = deleted_versions_.find(row.key);
+  if (deleted_version != deleted_versions_.end() && deleted_version->second > row.version) {
     return false;
   }
-  const auto [place, is_new] = rows_.try_emplace(row.key, Kept{row, changed});
+  const auto [place, is_new] = rows_.try_emplace(row.key, CachedRow{row, changed});
   if (!is_new) {
     StoreRow& known = place->second.row;
     if (row.version < known.version) {
@@ -93,52 +93,52 @@
   if (is_known && found->second.row.version > gone.version) {
     return false;
   }
-  uint64_t& went = went_[gone.key];
-  went = std::max(went, gone.version);
-  gone_.push_back({gone.key, changed, went});
+  uint64_t& deleted_version = deleted_versions_[gone.key];
+  deleted_version = std::max(deleted_version, gone.version);
+  deleted_rows_.push_back({gone.key, changed, deleted_version});
   if (is_known) {
     rows_.erase(found);
     last_change_ = changed;
   }
-  if (gone_.size() > kGoneAtMost) {
-    forgetFirstGone();
+  if (deleted_rows_.size() > kMaxDeletedRows) {
+    forgetOldestDeletedRow();
   }
   return is_known;
 }
 
-void RowCache::forgetFirstGone() {
-  const Gone& first = gone_.front();
-  forgotten_ = first.changed;
-  const auto went = went_.find(first.key);
-  if (went != went_.end() && went->second == first.went) {
-    went_.erase(went);
+void RowCache::forgetOldestDeletedRow() {
+  const DeletedRow& first = deleted_rows_.front();
+  forgotten_version_ = first.changed;
+  const auto deleted_version = deleted_versions_.find(first.key);
+  if (deleted_version != deleted_versions_.end() && deleted_version->second == first.deleted_version) {
+    deleted_versions_.erase(deleted_version);
   }
-  gone_.pop_front();
+  deleted_rows_.pop_front();
 }
 
-TableNews RowCache::newsAfter(uint64_t version) const {
-  TableNews news;
-  news.version = told_version_;
-  news.confirmed = confirmed_;
-  news.as_of = as_of_;
-  news.is_whole = tellsAllAfter(version);
-  for (const auto& [key, kept] : rows_) {
-    if (news.is_whole || kept.changed > version) {
-      news.rows.push_back(kept.row);
+TableUpdate RowCache::updateSince(uint64_t version) const {
+  TableUpdate update;
+  update.version = served_version_;
+  update.confirmed = confirmed_;
+  update.as_of = as_of_;
+  update.is_whole = needsSnapshotSince(version);
+  for (const auto& [key, cached] : rows_) {
+    if (update.is_whole || cached.changed > version) {
+      update.rows.push_back(cached.row);
     }
   }
-  if (!news.is_whole) {
-    for (const Gone& gone : gone_) {
+  if (!update.is_whole) {
+    for (const DeletedRow& gone : deleted_rows_) {
       if (gone.changed > version && !rows_.contains(gone.key)) {
         StoreRow row;
         row.key = gone.key;
-        row.version = gone.went;
+        row.version = gone.deleted_version;
         row.is_gone = true;
-        news.rows.push_back(row);
+        update.rows.push_back(row);
       }
     }
   }
-  return news;
+  return update;
 }
 
 }  // namespace quincewick::forwarding
--- a/src/forwarding/row_cache.h
+++ b/src/forwarding/row_cache.h
@@ -21,7 +21,7 @@
 namespace quincewick::forwarding {
 
 // What a node learns of a table with one answer, whoever gave it.
-struct TableNews {
+struct TableUpdate {
   std::vector<StoreRow> rows;
   bool is_whole = false;  // the rows are all that the table has
   uint64_t version = 0;   // of the store: all changes up to here are told
@@ -41,16 +41,16 @@
 
   // Takes an answer; returns what of it is news here: all rows at the first whole reading, then
   // changes alone. Answers come over two connections, and the pages of a whole reading one after the other:
-  // what is older than what is known of its row is passed over. `news.version` of a whole reading is the
+  // what is older than what is known of its row is passed over. `update.version` of a whole reading is the
   // store's before its first page.
-  TableNews take(const TableNews& news);
+  TableUpdate take(const TableUpdate& update);
 
   // Whether there is anything to tell: false until a whole reading was taken.
-  bool isFilled() const { return told_version_ > 0; }
+  bool hasSnapshot() const { return served_version_ > 0; }
   // How many answers were taken: each makes the rows known as of a later time.
   uint64_t readings() const { return readings_; }
   // All changes up to here are known.
-  uint64_t version() const { return told_version_; }
+  uint64_t version() const { return served_version_; }
   absl::Time confirmed() const { return confirmed_; }
   absl::Time asOf() const { return as_of_; }
   // The last change that matters: who knows this version lacks nothing.
@@ -58,36 +58,37 @@
 
   size_t size() const { return rows_.size(); }
   // Whether those who ask after that version are told all rows.
-  bool tellsAllAfter(uint64_t version) const { return version == 0 || version < forgotten_; }
+  bool needsSnapshotSince(uint64_t version) const { return version == 0 || version < forgotten_version_; }
   // What changed after that version; all rows for 0 or where what went is forgotten.
-  TableNews newsAfter(uint64_t version) const;
+  TableUpdate updateSince(uint64_t version) const;
 
  private:
-  struct Kept {
+  struct CachedRow {
     StoreRow row;
     uint64_t changed = 0;  // the version at which those who ask learn of it
   };
-  struct Gone {
+  struct DeletedRow {
     std::string key;
     uint64_t changed = 0;
-    uint64_t went = 0;  // the store's version then
+    uint64_t deleted_version = 0;  // the store's version then
   };
 
-  void takeRows(const TableNews& news, uint64_t changed, std::vector<StoreRow>& effect);
-  std::vector<StoreRow> missingFrom(const TableNews& whole) const;
+  void applyRows(const TableUpdate& update, uint64_t changed, std::vector<StoreRow>& effect);
+  std::vector<StoreRow> missingFrom(const TableUpdate& whole) const;
   // Return whether anything changed.
   bool put(const StoreRow& row, uint64_t changed);
   bool drop(const StoreRow& gone, uint64_t changed);
-  void forgetFirstGone();
+  void forgetOldestDeletedRow();
 
   IsSame is_same_;
-  absl::btree_map<std::string, Kept> rows_;  // by key
-  std::deque<Gone> gone_;
-  absl::flat_hash_map<std::string, uint64_t> went_;  // the store's version then, newest for each row
-  uint64_t forgotten_ = 0;                           // what went up to here is not told any more
+  absl::btree_map<std::string, CachedRow> rows_;  // by key
+  std::deque<DeletedRow> deleted_rows_;
+  absl::flat_hash_map<std::string, uint64_t>
+      deleted_versions_;            // the store's version then, newest for each row
+  uint64_t forgotten_version_ = 0;  // what went up to here is not told any more
   // What those who ask are told to have. It goes ahead of the store's where a whole reading shows a change
   // that the changes before it left out.
-  uint64_t told_version_ = 0;
+  uint64_t served_version_ = 0;
   uint64_t last_change_ = 0;
   uint64_t readings_ = 0;
   absl::Time confirmed_ = absl::InfinitePast();
--- a/src/forwarding/server_choice.cc
+++ b/src/forwarding/server_choice.cc
@@ -31,7 +31,7 @@
   for (const auto& server : servers) {
     const bool is_excluded =
         std::find(excluded.begin(), excluded.end(), server->identity_hash) != excluded.end();
-    if (is_excluded || !server->takesWork(now)) {
+    if (is_excluded || !server->isEligible(now)) {
       continue;
     }
     const double cost =
--- a/src/forwarding/server_directory.cc
+++ b/src/forwarding/server_directory.cc
@@ -16,16 +16,16 @@
 constexpr absl::Duration kReplacedEjection = absl::Seconds(30);
 constexpr uint32_t kLargestBackoffStep = 4;
 // Until peers' digests tell of what came since.
-constexpr absl::Duration kBookedFor = absl::Milliseconds(400);
+constexpr absl::Duration kOwnerLoadValidity = absl::Milliseconds(400);
 constexpr double kLatencySmoothing = 0.2;
 // Twice the servers of the largest fleet that is planned for: those there now, and as many that went.
-constexpr size_t kStartsAtMost = 24'000;
+constexpr size_t kMaxRememberedStarts = 24'000;
 
 uint64_t hashOfId(const std::string& id) {
   return XXH3_64bits(id.data(), id.size());
 }
 
-uint64_t hashOfLife(const ServerEntry& entry) {
+uint64_t hashOfIncarnation(const ServerEntry& entry) {
   if (entry.started == absl::InfinitePast()) {
     return hashOfId(entry.id);
   }
@@ -43,14 +43,14 @@
 }
 
 ServerLoad Server::load(absl::Time now) const {
-  if (now - booked.told > kBookedFor) {
+  if (now - owner_load.received > kOwnerLoadValidity) {
     return {running(), prefillTokens()};
   }
   const auto since = [](uint64_t sum, uint64_t own_then, uint64_t own_now) {
     return sum + own_now - std::min(sum + own_now, own_then);
   };
-  return {static_cast<uint32_t>(since(booked.in_hand.running, booked.own.running, own.running)),
-          since(booked.in_hand.prefill_tokens, booked.own.prefill_tokens, own.prefill_tokens)};
+  return {static_cast<uint32_t>(since(owner_load.total.running, owner_load.own.running, own.running)),
+          since(owner_load.total.prefill_tokens, owner_load.own.prefill_tokens, own.prefill_tokens)};
 }
 
 std::optional<WeightsVersion> Server::versionOf(const ModelName& model) const {
@@ -70,7 +70,7 @@
   return !isLeaving() && !back_pressure->rests(now);
 }
 
-bool Server::takesWork(absl::Time now) const {
+bool Server::isEligible(absl::Time now) const {
   return !isLeaving() && is_readable && now >= ejected_until && now >= loading_until &&
          now >= back_pressure->freeAt();
 }
@@ -122,7 +122,7 @@
   auto server = std::make_shared<Server>();
   server->entry = std::move(entry);
   server->slot = takeSlot();
-  server->identity_hash = hashOfLife(server->entry);
+  server->identity_hash = hashOfIncarnation(server->entry);
   server->home_hash = hashOfId(server->entry.id);
   restoreBackPressure(*server);
   by_slot_[static_cast<size_t>(server->slot)] = server;
@@ -144,7 +144,7 @@
   if (last_starts_.insert_or_assign(entry.id, entry.started).second) {
     last_starts_order_.push_back(entry.id);
   }
-  if (last_starts_order_.size() > kStartsAtMost) {
+  if (last_starts_order_.size() > kMaxRememberedStarts) {
     last_starts_.erase(last_starts_order_.front());
     last_starts_order_.pop_front();
   }
@@ -166,17 +166,18 @@
 }
 
 void ServerDirectory::keepBackPressure(const Server& server) {
-  if (kept_pressure_.insert_or_assign(server.identity_hash, server.back_pressure).second) {
-    kept_pressure_order_.push_back(server.identity_hash);
+  if (retained_back_pressure_.insert_or_assign(server.identity_hash, server.back_pressure).second) {
+    retained_back_pressure_order_.push_back(server.identity_hash);
   }
-  if (kept_pressure_order_.size() > kStartsAtMost) {
-    kept_pressure_.erase(kept_pressure_order_.front());
-    kept_pressure_order_.pop_front();
+  if (retained_back_pressure_order_.size() > kMaxRememberedStarts) {
+    retained_back_pressure_.erase(retained_back_pressure_order_.front());
+    retained_back_pressure_order_.pop_front();
   }
 }
 
 void ServerDirectory::restoreBackPressure(Server& server) {
-  if (const auto kept = kept_pressure_.find(server.identity_hash); kept != kept_pressure_.end()) {
+  if (const auto kept = retained_back_pressure_.find(server.identity_hash);
+      kept != retained_back_pressure_.end()) {
     server.back_pressure = kept->second;
   }
 }
@@ -255,7 +256,7 @@
           : server.latency_seconds + kLatencySmoothing * (seconds - server.latency_seconds);
 }
 
-void ServerDirectory::noteReplaced(Server& server, absl::Time now) {
+void ServerDirectory::noteAddressReassigned(Server& server, absl::Time now) {
   server.ejected_until = now + kReplacedEjection;
 }
 
@@ -269,14 +270,14 @@
   peer_loads_.erase(peer);
 }
 
-void ServerDirectory::setFarLoad(const ZoneName& zone, const LoadShare& share,
-                                 const std::vector<PeerLoad>& loads) {
-  replaceLoad(far_loads_[zone], share, loads, &Server::far);
+void ServerDirectory::setZoneLoad(const ZoneName& zone, const LoadShare& share,
+                                  const std::vector<PeerLoad>& loads) {
+  replaceLoad(zone_loads_[zone], share, loads, &Server::other_zones);
 }
 
-void ServerDirectory::forgetFarLoad(const ZoneName& zone) {
-  setFarLoad(zone, LoadShare(), {});
-  far_loads_.erase(zone);
+void ServerDirectory::forgetZoneLoad(const ZoneName& zone) {
+  setZoneLoad(zone, LoadShare(), {});
+  zone_loads_.erase(zone);
 }
 
 void ServerDirectory::replaceLoad(std::vector<PeerLoad>& last, const LoadShare& share,
--- a/src/forwarding/server_directory.h
+++ b/src/forwarding/server_directory.h
@@ -40,8 +40,8 @@
   bool is_listed = true;       // false: this life is over, only work under way keeps it here
   bool is_readable = true;     // false: its entry is there and can't be read, perhaps it tells of its leaving
   ServerLoad own;
-  ServerLoad peers;  // of this node's zone, or all on a small site
-  ServerLoad far;    // of other zones
+  ServerLoad peers;        // of this node's zone, or all on a small site
+  ServerLoad other_zones;  // of other zones
   // A penalty that halves with time: grows with each failure.
   double failure_score = 0;
   absl::Time failure_scored_at = absl::InfinitePast();
@@ -55,18 +55,20 @@
   std::shared_ptr<BackPressure> back_pressure = std::make_shared<BackPressure>();
 
   // What its books told is in hand there, and how much of it was this node's then.
-  struct BookedLoad {
-    ServerLoad in_hand;
+  struct OwnerLoad {
+    ServerLoad total;
     ServerLoad own;
-    absl::Time told = absl::InfinitePast();
+    absl::Time received = absl::InfinitePast();
   };
-  BookedLoad booked;
+  OwnerLoad owner_load;
 
   // What is in hand: as the books told a moment ago, else as peers told.
   ServerLoad load(absl::Time now) const;
-  void noteBooked(const ServerLoad& in_hand, absl::Time now) { booked = {in_hand, own, now}; }
-  uint32_t running() const { return own.running + peers.running + far.running; }
-  uint64_t prefillTokens() const { return own.prefill_tokens + peers.prefill_tokens + far.prefill_tokens; }
+  void noteOwnerLoad(const ServerLoad& total, absl::Time now) { owner_load = {total, own, now}; }
+  uint32_t running() const { return own.running + peers.running + other_zones.running; }
+  uint64_t prefillTokens() const {
+    return own.prefill_tokens + peers.prefill_tokens + other_zones.prefill_tokens;
+  }
   double failureScore(absl::Time now) const;
   // The version of the model's weights that it has, as far as known.
   std::optional<WeightsVersion> versionOf(const ModelName& model) const;
@@ -74,7 +76,7 @@
   bool isLeaving() const;
   // Whether a request that was chosen for it may still be sent there.
   bool mayReceive(absl::Time now) const;
-  bool takesWork(absl::Time now) const;
+  bool isEligible(absl::Time now) const;
 };
 
 // What an entry of the list did to the directory.
@@ -129,14 +131,14 @@
   static void noteFailure(Server& server, double weight, absl::Time now);
   static void noteSuccess(Server& server, absl::Duration latency);
   // The address belongs to another start of a server now.
-  static void noteReplaced(Server& server, absl::Time now);
+  static void noteAddressReassigned(Server& server, absl::Time now);
 
   // Takes one peer's account of a share of the servers in place of its last one.
   void setPeerLoad(const NodeId& peer, const LoadShare& share, const std::vector<PeerLoad>& loads);
   void forgetPeerLoad(const NodeId& peer);
   // Takes another zone's account in the same way.
-  void setFarLoad(const ZoneName& zone, const LoadShare& share, const std::vector<PeerLoad>& loads);
-  void forgetFarLoad(const ZoneName& zone);
+  void setZoneLoad(const ZoneName& zone, const LoadShare& share, const std::vector<PeerLoad>& loads);
+  void forgetZoneLoad(const ZoneName& zone);
 
   // Slots whose servers went since the last call: what is believed of them is void.
   std::vector<EngineSlot> takeFreedSlots();
@@ -158,14 +160,14 @@
   std::deque<std::string> last_starts_order_;
   // What servers that went had asked, by their identity hashes: an entry may lapse and come back with the
   // store. Of so many at most, the first ones given up.
-  absl::flat_hash_map<uint64_t, std::shared_ptr<BackPressure>> kept_pressure_;
-  std::deque<uint64_t> kept_pressure_order_;
+  absl::flat_hash_map<uint64_t, std::shared_ptr<BackPressure>> retained_back_pressure_;
+  std::deque<uint64_t> retained_back_pressure_order_;
   absl::flat_hash_map<ServiceName, std::vector<ServerPointer>> by_service_;
   absl::flat_hash_map<uint64_t, ServerPointer> by_hash_;
   std::vector<ServerPointer> by_slot_;
   std::vector<EngineSlot> freed_;
   absl::flat_hash_map<NodeId, std::vector<PeerLoad>> peer_loads_;
-  absl::flat_hash_map<ZoneName, std::vector<PeerLoad>> far_loads_;
+  absl::flat_hash_map<ZoneName, std::vector<PeerLoad>> zone_loads_;
 };
 
 }  // namespace quincewick::forwarding
--- a/src/forwarding/store_history.cc
+++ b/src/forwarding/store_history.cc
@@ -2,35 +2,35 @@
 
 namespace quincewick::forwarding {
 
-StoreFinding StoreHistory::note(const StoreSign& sign) {
-  const bool may_be_earlier = sign.began < unbroken_since_;  // than the moment at which the store went back
+StoreContinuity StoreHistory::note(const StoreObservation& sign) {
+  const bool may_be_earlier = sign.began < continuous_since_;  // than the moment at which the store went back
   if (sign.era && sign.era != era_) {
     const bool is_first = !era_;
     if (!is_first && may_be_earlier && *sign.era < *era_) {
-      return StoreFinding::kOutdated;
+      return StoreContinuity::kOutdated;
     }
     era_ = sign.era;
-    beginAnew(sign);
-    return is_first ? StoreFinding::kGoesOn : StoreFinding::kWentBack;
+    reset(sign);
+    return is_first ? StoreContinuity::kContinuous : StoreContinuity::kReverted;
   }
   if (may_be_earlier) {
-    return StoreFinding::kGoesOn;
+    return StoreContinuity::kContinuous;
   }
   if (!era_ && sign.version < version_ && sign.began >= version_known_) {
-    beginAnew(sign);
-    return StoreFinding::kWentBack;
+    reset(sign);
+    return StoreContinuity::kReverted;
   }
   if (sign.version > version_) {
     version_ = sign.version;
     version_known_ = sign.ended;
   }
-  return StoreFinding::kGoesOn;
+  return StoreContinuity::kContinuous;
 }
 
-void StoreHistory::beginAnew(const StoreSign& sign) {
+void StoreHistory::reset(const StoreObservation& sign) {
   version_ = sign.version;
   version_known_ = sign.ended;
-  unbroken_since_ = sign.ended;
+  continuous_since_ = sign.ended;
   ++generation_;
 }
 
--- a/src/forwarding/store_history.h
+++ b/src/forwarding/store_history.h
@@ -13,23 +13,23 @@
 namespace quincewick::forwarding {
 
 // What one answer of the store tells of the store itself.
-struct StoreSign {
+struct StoreObservation {
   uint64_t version = 0;         // its newest
   std::optional<uint64_t> era;  // nothing: it tells none
   absl::Time began;             // the call, as `ended`
   absl::Time ended;
 };
 
-enum class StoreFinding : uint8_t {
-  kGoesOn,
-  kWentBack,  // what was acknowledged before may be lost
+enum class StoreContinuity : uint8_t {
+  kContinuous,
+  kReverted,  // what was acknowledged before may be lost
   kOutdated,  // the answer is of an era that is over
 };
 
 class StoreHistory {
  public:
   // Answers may come in another order than that in which the store gave them.
-  StoreFinding note(const StoreSign& sign);
+  StoreContinuity note(const StoreObservation& sign);
 
   std::optional<uint64_t> era() const { return era_; }
   uint64_t version() const { return version_; }
@@ -37,15 +37,15 @@
   uint64_t generation() const { return generation_; }
   // Nothing that was acknowledged after this moment is known to be lost. With an era: when it was first seen;
   // without one InfinitePast until the store was seen to go back.
-  absl::Time unbrokenSince() const { return unbroken_since_; }
+  absl::Time continuousSince() const { return continuous_since_; }
 
  private:
-  void beginAnew(const StoreSign& sign);
+  void reset(const StoreObservation& sign);
 
   std::optional<uint64_t> era_;
-  uint64_t version_ = 0;  // the highest of any answer since `unbroken_since_`
+  uint64_t version_ = 0;  // the highest of any answer since `continuous_since_`
   absl::Time version_known_ = absl::InfinitePast();
-  absl::Time unbroken_since_ = absl::InfinitePast();
+  absl::Time continuous_since_ = absl::InfinitePast();
   uint64_t generation_ = 0;
 };
 
--- a/src/forwarding/weights_register.cc
+++ b/src/forwarding/weights_register.cc
@@ -7,13 +7,13 @@
 namespace {
 
 // A version is learnt of some time after it was named.
-constexpr absl::Duration kLearningMargin = absl::Milliseconds(600);
+constexpr absl::Duration kPropagationMargin = absl::Milliseconds(600);
 // A request may wait at a full engine before it begins.
 constexpr absl::Duration kQueueMargin = absl::Milliseconds(400);
 constexpr absl::Duration kPreferenceMargin = absl::Milliseconds(1200);
 // After a version was named, work on older ones is worth less; less the way to an engine.
-constexpr absl::Duration kWholeWorth = absl::Milliseconds(1300);
-constexpr size_t kVersionsKept = 16;
+constexpr absl::Duration kFullValueTime = absl::Milliseconds(1300);
+constexpr size_t kMaxVersions = 16;
 
 }  // namespace
 
@@ -27,7 +27,7 @@
   }
   const bool is_newest = place == versions.end();
   versions.emplace(place, weights.version, named);
-  if (versions.size() > kVersionsKept) {
+  if (versions.size() > kMaxVersions) {
     versions.erase(versions.begin());
   }
   return is_newest;
@@ -39,15 +39,15 @@
 }
 
 WeightsVersion WeightsRegister::required(const ModelName& model, absl::Time now) const {
-  return namedBefore(model, now + kQueueMargin + kLearningMargin - in_force_);
+  return namedBefore(model, now + kQueueMargin + kPropagationMargin - in_force_);
 }
 
 WeightsVersion WeightsRegister::preferred(const ModelName& model, absl::Time now) const {
-  return namedBefore(model, now + kPreferenceMargin + kLearningMargin - in_force_);
+  return namedBefore(model, now + kPreferenceMargin + kPropagationMargin - in_force_);
 }
 
 WeightsVersion WeightsRegister::wanted(const ModelName& model, absl::Time now) const {
-  return namedBefore(model, now - kWholeWorth);
+  return namedBefore(model, now - kFullValueTime);
 }
 
 // The newest version that was named at that time or before.
@@ -81,7 +81,7 @@
   if (found != versions_.end()) {
     for (const auto& [named, learnt] : found->second) {
       if (named > version) {
-        return learnt + in_force_ - kLearningMargin;
+        return learnt + in_force_ - kPropagationMargin;
       }
     }
   }
--- a/src/gateway/configuration_confirmer.cc
+++ b/src/gateway/configuration_confirmer.cc
@@ -17,11 +17,11 @@
 
 void ConfigurationConfirmer::ask(absl::Time now) {
   is_asking_ = true;
-  schedule_.noteAsked(now);
+  schedule_.noteRequested(now);
   reader_.read(
       core_.dialect->tables().configuration,
       [this, now](StoreStatus status, WholeTable table) { takeAnswer(status, std::move(table), now); },
-      ConfirmationSchedule::questionLimit(core_.settings.bounds.configuration_in_force));
+      ConfirmationSchedule::confirmationTimeout(core_.settings.bounds.configuration_in_force));
 }
 
 void ConfigurationConfirmer::takeAnswer(StoreStatus status, WholeTable table, absl::Time asked) {
--- a/src/gateway/configuration_confirmer.h
+++ b/src/gateway/configuration_confirmer.h
@@ -17,7 +17,7 @@
 
 class ConfigurationConfirmer {
  public:
-  using News = std::function<void(const forwarding::TableNews& news)>;
+  using News = std::function<void(const forwarding::TableUpdate& news)>;
 
   ConfigurationConfirmer(Core& core, News news) : core_(core), news_(std::move(news)), reader_(core) {}
 
--- a/src/gateway/exchange_answer.cc
+++ b/src/gateway/exchange_answer.cc
@@ -55,7 +55,7 @@
     }
   }
   if (facts.is_other_server && facts.server_id && *facts.server_id != server_->entry.id) {
-    ServerDirectory::noteReplaced(*server_, now);
+    ServerDirectory::noteAddressReassigned(*server_, now);
   }
 }
 
--- a/src/gateway/exchange_placement.cc
+++ b/src/gateway/exchange_placement.cc
@@ -63,7 +63,7 @@
   place_question_.reset();
   const absl::Time now = reactor::steadyNow();
   if (answer.in_hand) {
-    server_->noteBooked(*answer.in_hand, now);
+    server_->noteOwnerLoad(*answer.in_hand, now);
     server_->capability = {answer.capability, now};
     engine_->load_seconds = core_.placement.loadSeconds(*answer.in_hand, server_->entry.slots,
                                                         core_.placement.capabilityOf(*server_, now));
--- a/src/gateway/lease_keeper.cc
+++ b/src/gateway/lease_keeper.cc
@@ -93,7 +93,7 @@
   if (status == StoreStatus::kDone) {
     lease_.onWritten(answer.version, {answer.clock, began, now});
   } else {
-    lease_.onNotWritten();
+    lease_.onWriteFailed();
   }
   // A write that was done counts for nothing where the store went back meanwhile.
   const bool is_held = lease_.holds(now);
--- a/src/gateway/order_giver.cc
+++ b/src/gateway/order_giver.cc
@@ -256,7 +256,7 @@
     return;
   }
   if (status == kMisdirected) {
-    forwarding::ServerDirectory::noteReplaced(*load.server, now);
+    forwarding::ServerDirectory::noteAddressReassigned(*load.server, now);
     finish(server_id, false);
     return;
   }
--- a/src/gateway/peer_exchange.cc
+++ b/src/gateway/peer_exchange.cc
@@ -420,7 +420,7 @@
   absl::erase_if(far_zones_, [this, now](const auto& entry) {
     const bool is_silent = now - entry.second.heard > kFarSilence;
     if (is_silent) {
-      core_.directory.forgetFarLoad(ZoneName(entry.first));
+      core_.directory.forgetZoneLoad(ZoneName(entry.first));
     }
     return is_silent;
   });
--- a/src/gateway/peer_exchange_receive.cc
+++ b/src/gateway/peer_exchange_receive.cc
@@ -114,7 +114,7 @@
     if (zone.zone == core_.settings.zone.value()) {
       continue;
     }
-    core_.directory.setFarLoad(ZoneName(zone.zone), shareOf(zone.load), loadsOf(zone.load.loads));
+    core_.directory.setZoneLoad(ZoneName(zone.zone), shareOf(zone.load), loadsOf(zone.load.loads));
     FarZone& far = far_zones_[zone.zone];
     far.heard = now;
     far.is_at_first_hand = from.zone.value() == zone.zone;
--- a/src/gateway/relay_follower.cc
+++ b/src/gateway/relay_follower.cc
@@ -70,7 +70,7 @@
   }
   after_ = std::max(after_, answer.value().version);
   readings_ = answer.value().readings;
-  forwarding::TableNews news;
+  forwarding::TableUpdate news;
   news.rows = std::move(answer.value().rows);
   news.is_whole = answer.value().is_whole;
   news.version = answer.value().version;
--- a/src/gateway/relay_follower.h
+++ b/src/gateway/relay_follower.h
@@ -17,7 +17,7 @@
 
 class RelayFollower {
  public:
-  using News = std::function<void(const forwarding::TableNews& news)>;
+  using News = std::function<void(const forwarding::TableUpdate& news)>;
   // The peer gave no answer, or one that is no use.
   using Failed = std::function<void(const NodeId& peer)>;
 
--- a/src/gateway/rollout_exchange.cc
+++ b/src/gateway/rollout_exchange.cc
@@ -102,7 +102,7 @@
   state.operators_row = std::move(taken);
 }
 
-void RolloutExchange::takeRecords(const forwarding::TableNews& news) {
+void RolloutExchange::takeRecords(const forwarding::TableUpdate& news) {
   for (const forwarding::StoreRow& row : news.rows) {
     takeRecord(row, news.as_of);
   }
@@ -249,7 +249,7 @@
   for (const auto& server : core_.directory.ofService(service)) {
     if (server->entry.software != version) {
       ++others;
-    } else if (!is_watched || server->takesWork(now)) {
+    } else if (!is_watched || server->isEligible(now)) {
       servers.push_back(server);
     }
   }
--- a/src/gateway/rollout_exchange.h
+++ b/src/gateway/rollout_exchange.h
@@ -33,7 +33,7 @@
   // The operator's row of a rollout, as it was read.
   void takeOperatorsRow(const forwarding::StoreRow& row);
   // What was read of the table of records.
-  void takeRecords(const forwarding::TableNews& news);
+  void takeRecords(const forwarding::TableUpdate& news);
   // Whether the table was read whole: before, no request is sent.
   bool knowsRecords() const { return knows_records_; }
   bool isAnyRunning() const;
--- a/src/gateway/row_relay.cc
+++ b/src/gateway/row_relay.cc
@@ -52,7 +52,7 @@
     return;
   }
   const auto cache = caches_.find(question.value().table);
-  if (!answers_ || cache == caches_.end() || !cache->second->isFilled()) {
+  if (!answers_ || cache == caches_.end() || !cache->second->hasSnapshot()) {
     refuse(respond, kUnavailable);
     return;
   }
@@ -98,7 +98,7 @@
 
 bool RowRelay::isLargeWhole(const Held& held) const {
   const forwarding::RowCache& cache = *caches_.at(held.question.table);
-  return cache.tellsAllAfter(held.question.after) && cache.size() >= kRowsOfLargeTable;
+  return cache.needsSnapshotSince(held.question.after) && cache.size() >= kRowsOfLargeTable;
 }
 
 bool RowRelay::hasNews(const RelayQuestion& question) const {
@@ -120,7 +120,7 @@
 RelayAnswer RowRelay::answerWithoutRows(const Held& held, absl::Time now) const {
   const forwarding::RowCache& cache = *caches_.at(held.question.table);
   RelayAnswer answer;
-  answer.is_whole = cache.tellsAllAfter(held.question.after);
+  answer.is_whole = cache.needsSnapshotSince(held.question.after);
   answer.version = cache.version();
   answer.readings = cache.readings();
   answer.confirmed_ago = now - cache.confirmed();
@@ -131,7 +131,7 @@
 
 std::string RowRelay::plainAnswer(const Held& held, absl::Time now) const {
   RelayAnswer answer = answerWithoutRows(held, now);
-  answer.rows = caches_.at(held.question.table)->newsAfter(held.question.after).rows;
+  answer.rows = caches_.at(held.question.table)->updateSince(held.question.after).rows;
   return encodeRelayAnswer(answer);
 }
 
@@ -152,7 +152,7 @@
   if (kept.size() >= kPackedAtMost) {
     kept.pop_front();
   }
-  kept.push_back({question.after, cache.version(), packRows(cache.newsAfter(question.after).rows)});
+  kept.push_back({question.after, cache.version(), packRows(cache.updateSince(question.after).rows)});
   return kept.back().bytes;
 }
 
--- a/src/gateway/server_list.cc
+++ b/src/gateway/server_list.cc
@@ -12,7 +12,7 @@
 
 ServerList::ServerList(Core& core) : core_(core), refused_(core, core.dialect->tables().servers) {}
 
-void ServerList::take(const forwarding::TableNews& news, absl::Time now) {
+void ServerList::take(const forwarding::TableUpdate& news, absl::Time now) {
   const absl::Duration list_was_old = now - core_.servers_as_of;
   if (news.as_of > core_.servers_as_of) {
     core_.servers_as_of = news.as_of;
@@ -38,7 +38,7 @@
 }
 
 void ServerList::takeRow(const StoreRow& row, absl::Duration list_was_old, absl::Time now) {
-  lapsed_.noteThere(row.key);
+  lapsed_.notePresent(row.key);
   auto read = core_.dialect->readServer(row.key, row.value);
   if (read.has_error()) {
     refuse(row, read.error().message);
@@ -92,7 +92,7 @@
   if (server == nullptr) {
     return;
   }
-  if (!server->isLeaving() && lapsed_.mayComeBack(now)) {
+  if (!server->isLeaving() && lapsed_.mayReappear(now)) {
     core_.log.event("server_awaited", now).with("server", server_id);
     lapsed_.await(server_id);
   } else {
@@ -101,7 +101,7 @@
 }
 
 void ServerList::removeGone(absl::Time now) {
-  for (const std::string& id : lapsed_.takeGone(now)) {
+  for (const std::string& id : lapsed_.takeLapsed(now)) {
     remove(id, now);
   }
   core_.forgetFreedSlots();
--- a/src/gateway/server_list.h
+++ b/src/gateway/server_list.h
@@ -17,9 +17,9 @@
  public:
   explicit ServerList(Core& core);
 
-  void take(const forwarding::TableNews& news, absl::Time now);
+  void take(const forwarding::TableUpdate& news, absl::Time now);
   // Neither this gateway nor a peer that it hears reads the list.
-  void noteAway() { lapsed_.noteAway(); }
+  void noteStoreOutage() { lapsed_.noteStoreOutage(); }
   // Removes servers whose entries were awaited in vain.
   void removeGone(absl::Time now);
 
--- a/src/gateway/site_follower.cc
+++ b/src/gateway/site_follower.cc
@@ -8,7 +8,7 @@
 namespace {
 
 using forwarding::StoreRow;
-using forwarding::TableNews;
+using forwarding::TableUpdate;
 
 constexpr absl::Duration kTick = absl::Milliseconds(100);
 // While this gateway neither reads nor follows, it can't serve: it looks more often who reads.
@@ -35,7 +35,7 @@
   TableFollowerSettings settings;
   settings.table = WeightsRecord::kTable;
   settings.pace.wait = absl::Seconds(20);
-  settings.pace.whole_every = absl::Minutes(1);
+  settings.pace.snapshot_period = absl::Minutes(1);
   return settings;
 }
 
@@ -43,7 +43,7 @@
   TableFollowerSettings settings;
   settings.table = RolloutExchange::kTable;
   settings.pace.wait = kRolloutsWait;
-  settings.pace.whole_every = absl::Minutes(1);
+  settings.pace.snapshot_period = absl::Minutes(1);
   return settings;
 }
 
@@ -55,7 +55,7 @@
   settings.table = core.dialect->tables().servers;
   settings.pace.wait = core.settings.bounds.server_drain / 16;
   settings.pace.pause = core.settings.bounds.server_drain / 4;
-  settings.pace.whole_every = absl::Seconds(6);
+  settings.pace.snapshot_period = absl::Seconds(6);
   return settings;
 }
 
@@ -64,7 +64,8 @@
   TableFollowerSettings settings;
   settings.table = core.dialect->tables().configuration;
   settings.pace.wait = absl::Seconds(10);
-  settings.pace.whole_every = std::min(kLongestWholeEvery, core.settings.bounds.configuration_in_force / 3);
+  settings.pace.snapshot_period =
+      std::min(kLongestWholeEvery, core.settings.bounds.configuration_in_force / 3);
   return settings;
 }
 
@@ -96,37 +97,37 @@
       list_(core),
       refused_rows_(core, core.dialect->tables().configuration),
       weights_record_(core),
-      confirmer_(core, [this](const TableNews& news) { takeConfirmation(news); }),
+      confirmer_(core, [this](const TableUpdate& news) { takeConfirmation(news); }),
       operator_rows_{core.dialect->tables().configuration, forwarding::RowCache(isSameVersion),
                      TableFollower(core, operatorSettings(core),
-                                   [this](const TableNews& news) { takeFromStore(operator_rows_, news); }),
+                                   [this](const TableUpdate& news) { takeFromStore(operator_rows_, news); }),
                      RelayFollower(
                          core, peers, core.dialect->tables().configuration, kRelayWait,
-                         [this](const TableNews& news) { takeToldConfiguration(news); },
+                         [this](const TableUpdate& news) { takeToldConfiguration(news); },
                          [this](const NodeId& reader) { noteFailed(reader); })},
       servers_{core.dialect->tables().servers,
                forwarding::RowCache([&core](const StoreRow& known, const StoreRow& written) {
                  return saysTheSame(*core.dialect, known, written);
                }),
                TableFollower(core, serverSettings(core),
-                             [this](const TableNews& news) { takeFromStore(servers_, news); }),
+                             [this](const TableUpdate& news) { takeFromStore(servers_, news); }),
                RelayFollower(
                    core, peers, core.dialect->tables().servers, kRelayWait,
-                   [this](const TableNews& news) { takeNews(servers_, news, false); },
+                   [this](const TableUpdate& news) { takeNews(servers_, news, false); },
                    [this](const NodeId& reader) { noteFailed(reader); })},
       weights_rows_{WeightsRecord::kTable, forwarding::RowCache(isSameVersion),
                     TableFollower(core, weightsSettings(),
-                                  [this](const TableNews& news) { takeFromStore(weights_rows_, news); }),
+                                  [this](const TableUpdate& news) { takeFromStore(weights_rows_, news); }),
                     RelayFollower(
                         core, peers, WeightsRecord::kTable, kRarelyChangedRelayWait,
-                        [this](const TableNews& news) { takeNews(weights_rows_, news, false); },
+                        [this](const TableUpdate& news) { takeNews(weights_rows_, news, false); },
                         [this](const NodeId& reader) { noteFailed(reader); })},
       rollout_rows_{RolloutExchange::kTable, forwarding::RowCache(isSameVersion),
                     TableFollower(core, rolloutSettings(),
-                                  [this](const TableNews& news) { takeFromStore(rollout_rows_, news); }),
+                                  [this](const TableUpdate& news) { takeFromStore(rollout_rows_, news); }),
                     RelayFollower(
                         core, peers, RolloutExchange::kTable, kRunningRolloutsWait,
-                        [this](const TableNews& news) { takeNews(rollout_rows_, news, false); },
+                        [this](const TableUpdate& news) { takeNews(rollout_rows_, news, false); },
                         [this](const NodeId& reader) { followRolloutsLater(reader); })} {}
 
 std::vector<SiteFollower::Table*> SiteFollower::tables() {
@@ -145,23 +146,23 @@
 }
 
 bool SiteFollower::readsWell() const {
-  return role_.reads && storeAnswers() && !core_.is_stopping && operator_rows_.cache.isFilled() &&
-         servers_.cache.isFilled() && weights_rows_.cache.isFilled() &&
-         (core_.rollouts == nullptr || rollout_rows_.cache.isFilled()) &&
-         reactor::steadyNow() - operator_rows_.cache.confirmed() < oldestConfiguration();
+  return role_.reads && storeAnswers() && !core_.is_stopping && operator_rows_.cache.hasSnapshot() &&
+         servers_.cache.hasSnapshot() && weights_rows_.cache.hasSnapshot() &&
+         (core_.rollouts == nullptr || rollout_rows_.cache.hasSnapshot()) &&
+         reactor::steadyNow() - operator_rows_.cache.confirmed() < maxConfigurationAge();
 }
 
 bool SiteFollower::storeAnswers() const {
-  const bool is_list_fresh = reactor::steadyNow() - servers_.cache.asOf() <= oldestList();
+  const bool is_list_fresh = reactor::steadyNow() - servers_.cache.asOf() <= maxServerListAge();
   return is_list_fresh && !operator_rows_.from_store.isDown() && !servers_.from_store.isDown();
 }
 
-absl::Duration SiteFollower::oldestList() const {
-  return forwarding::ReaderElection::oldestList(core_.settings.bounds.server_drain);
+absl::Duration SiteFollower::maxServerListAge() const {
+  return forwarding::ReaderElection::maxServerListAge(core_.settings.bounds.server_drain);
 }
 
-absl::Duration SiteFollower::oldestConfiguration() const {
-  return forwarding::ReaderElection::oldestConfiguration(core_.settings.bounds.configuration_in_force);
+absl::Duration SiteFollower::maxConfigurationAge() const {
+  return forwarding::ReaderElection::maxConfigurationAge(core_.settings.bounds.configuration_in_force);
 }
 
 // Who the peers are, and so whether one of them reads the store, is asked of the store first: one call, where
@@ -185,10 +186,10 @@
 
 // A reader may answer and yet have no fresh rows: followers don't wait until it has noticed that itself.
 void SiteFollower::checkAge(absl::Time now) {
-  const bool is_outdated = election_.followsOutdated(told_confirmed_, oldestConfiguration(), now) ||
-                           election_.followsOutdated(core_.servers_as_of, oldestList(), now);
+  const bool is_outdated = election_.followsStaleReader(told_confirmed_, maxConfigurationAge(), now) ||
+                           election_.followsStaleReader(core_.servers_as_of, maxServerListAge(), now);
   if (is_outdated) {
-    election_.noteOutdated(*role_.follows, now);
+    election_.noteStaleReader(*role_.follows, now);
   }
   if (std::exchange(is_reader_outdated_, is_outdated) || !is_outdated) {
     return;
@@ -201,9 +202,9 @@
 
 // A reading that this gateway alone lacks is no outage: peers are heard then that have one.
 void SiteFollower::noteWhetherAway(absl::Time now) {
-  const bool is_list_old = now - core_.servers_as_of > oldestList();
+  const bool is_list_old = now - core_.servers_as_of > maxServerListAge();
   if (is_list_old && !election_.hearsReader() && !exchange_.hearsNobody(now)) {
-    list_.noteAway();
+    list_.noteStoreOutage();
   }
 }
 
@@ -267,19 +268,19 @@
   relay_.setAnswering(role.reads);
 }
 
-void SiteFollower::takeFromStore(Table& table, const TableNews& news) {
+void SiteFollower::takeFromStore(Table& table, const TableUpdate& news) {
   takeNews(table, news, true);
   relay_.tell(table.name);
   exchange_.noteReading();
 }
 
-void SiteFollower::takeToldConfiguration(const TableNews& news) {
+void SiteFollower::takeToldConfiguration(const TableUpdate& news) {
   told_confirmed_ = std::max(told_confirmed_, news.confirmed);
   takeNews(operator_rows_, news, false);
 }
 
 // A reader whose questions fail meanwhile reads again at once, for its followers.
-void SiteFollower::takeConfirmation(const TableNews& news) {
+void SiteFollower::takeConfirmation(const TableUpdate& news) {
   if (!role_.reads) {
     takeNews(operator_rows_, news, false);
     return;
@@ -292,8 +293,8 @@
   }
 }
 
-void SiteFollower::takeNews(Table& table, const TableNews& news, bool from_store) {
-  const TableNews effect = table.cache.take(news);
+void SiteFollower::takeNews(Table& table, const TableUpdate& news, bool from_store) {
+  const TableUpdate effect = table.cache.take(news);
   if (&table == &operator_rows_) {
     takeOperatorRows(effect, from_store);
   } else if (&table == &servers_) {
@@ -305,13 +306,13 @@
   }
 }
 
-void SiteFollower::takeRollouts(const TableNews& news) {
+void SiteFollower::takeRollouts(const TableUpdate& news) {
   core_.rollouts->takeRecords(news);
   rollout_rows_.from_store.setWait(core_.rollouts->isAnyRunning() ? kRunningRolloutsWait : kRolloutsWait);
 }
 
 // Only a whole reading of the store confirms: a change that is told late must not pass for a newer look.
-void SiteFollower::takeOperatorRows(const TableNews& news, bool from_store) {
+void SiteFollower::takeOperatorRows(const TableUpdate& news, bool from_store) {
   const forwarding::StoreTables& tables = core_.dialect->tables();
   for (const StoreRow& row : news.rows) {
     if (row.key == tables.configuration_key) {
--- a/src/gateway/store_client.cc
+++ b/src/gateway/store_client.cc
@@ -60,15 +60,15 @@
   }
   const forwarding::StoreHistory before = core_.store_history;
   const std::optional<uint64_t> told = era.has_value() ? era.value() : std::nullopt;
-  const forwarding::StoreFinding finding = core_.store_history.note({version, told, began, now});
-  if (finding == forwarding::StoreFinding::kWentBack) {
+  const forwarding::StoreContinuity finding = core_.store_history.note({version, told, began, now});
+  if (finding == forwarding::StoreContinuity::kReverted) {
     core_.metrics.countStoreWentBack();
     core_.log.event("store_went_back", now)
         .with("version", static_cast<int64_t>(version))
         .with("was", static_cast<int64_t>(before.version()))
         .with("era", static_cast<int64_t>(told.value_or(0)));
   }
-  return finding != forwarding::StoreFinding::kOutdated;
+  return finding != forwarding::StoreContinuity::kOutdated;
 }
 
 void StoreClient::read(std::string_view table, std::string_view from, uint32_t limit,
--- a/src/gateway/table_follower.cc
+++ b/src/gateway/table_follower.cc
@@ -53,7 +53,7 @@
   if (!std::exchange(is_down_, true)) {
     core_.log.event("store_lost", reactor::steadyNow()).with("table", settings_.table);
   }
-  later(pace_.afterFailedWhole(core_.random), [this] { readWhole(); });
+  later(pace_.afterFailedSnapshot(core_.random), [this] { readWhole(); });
 }
 
 void TableFollower::takeWhole(WholeTable whole, absl::Time began) {
@@ -66,9 +66,9 @@
   if (turn != turn_) {
     return;
   }
-  later(pace_.afterWhole(core_.random), [this] { readWhole(); });
+  later(pace_.afterSnapshot(core_.random), [this] { readWhole(); });
   if (!std::exchange(follows_changes_, true)) {
-    followOn(pace_.afterChanges());
+    followOn(pace_.afterDelta());
   }
 }
 
@@ -86,13 +86,13 @@
   whole_reader_.cancel();
   follows_changes_ = false;
   const bool is_at_once = why == StoreStatus::kHistoryGone;
-  later(is_at_once ? absl::ZeroDuration() : pace_.afterFailedChanges(), [this] { readWhole(); });
+  later(is_at_once ? absl::ZeroDuration() : pace_.afterFailedDelta(), [this] { readWhole(); });
 }
 
 // While the store is down, whole readings alone ask whether it is back.
 void TableFollower::follow() {
   if (is_down_) {
-    followOn(pace_.afterFailedChanges());
+    followOn(pace_.afterFailedDelta());
     return;
   }
   const absl::Time asked = reactor::steadyNow();
@@ -108,7 +108,7 @@
                         version_ = std::max(version_, answer.version);
                         news_({answer.rows, false, answer.version, absl::InfinitePast(), asked});
                         if (turn == turn_) {
-                          followOn(pace_.afterChanges());
+                          followOn(pace_.afterDelta());
                         }
                       });
 }
--- a/src/gateway/table_follower.h
+++ b/src/gateway/table_follower.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "forwarding/reading_pace.h"
+#include "forwarding/polling_schedule.h"
 #include "forwarding/row_cache.h"
 #include "gateway/core.h"
 #include "gateway/store_client.h"
@@ -20,12 +20,12 @@
 
 struct TableFollowerSettings {
   std::string table;
-  forwarding::ReadingPaceSettings pace;
+  forwarding::PollingScheduleSettings pace;
 };
 
 class TableFollower {
  public:
-  using News = std::function<void(const forwarding::TableNews& news)>;
+  using News = std::function<void(const forwarding::TableUpdate& news)>;
 
   TableFollower(Core& core, TableFollowerSettings settings, News news);
 
@@ -55,7 +55,7 @@
 
   Core& core_;
   TableFollowerSettings settings_;
-  forwarding::ReadingPace pace_;
+  forwarding::PollingSchedule pace_;
   News news_;
   WholeTableReader whole_reader_;
   std::unique_ptr<StoreClient> feed_store_;  // a new one at each start: an old wait may go on for long
--- a/src/gateway/weights_record.cc
+++ b/src/gateway/weights_record.cc
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-void WeightsRecord::take(const forwarding::TableNews& news) {
+void WeightsRecord::take(const forwarding::TableUpdate& news) {
   const absl::Time now = reactor::steadyNow();
   const std::optional<absl::Duration> store_clock = core_.storeClock(now);
   if (!store_clock) {
--- a/tests/forwarding/confirmation_schedule_test.cc
+++ b/tests/forwarding/confirmation_schedule_test.cc
@@ -22,14 +22,14 @@
       kBound, kConfirmed, [] { return true; }, due));
   CHECK(schedule.isDue(
       kBound, kConfirmed, [] { return false; }, due));
-  CHECK(due + ConfirmationSchedule::questionLimit(kBound) <= kConfirmed + kBound);
+  CHECK(due + ConfirmationSchedule::confirmationTimeout(kBound) <= kConfirmed + kBound);
 }
 
 TEST_CASE("after a question without an answer the store is asked soon only if it answers somebody") {
   ConfirmationSchedule schedule;
   const absl::Time asked = kConfirmed + absl::Seconds(2);
-  schedule.noteAsked(asked);
-  const absl::Time soon = asked + ConfirmationSchedule::questionLimit(kBound);
+  schedule.noteRequested(asked);
+  const absl::Time soon = asked + ConfirmationSchedule::confirmationTimeout(kBound);
   CHECK_FALSE(schedule.isDue(
       kBound, kConfirmed, [] { return true; }, soon - kInstant));
   CHECK(schedule.isDue(
@@ -44,7 +44,7 @@
 
 TEST_CASE("what another confirmed meanwhile needs no question") {
   ConfirmationSchedule schedule;
-  schedule.noteAsked(kConfirmed + absl::Seconds(2));
+  schedule.noteRequested(kConfirmed + absl::Seconds(2));
   const absl::Time newer = kConfirmed + absl::Seconds(4);
   CHECK_FALSE(schedule.isDue(
       kBound, newer, [] { return true; }, newer + absl::Seconds(1)));
--- a/tests/forwarding/order_lease_site_test.cc
+++ b/tests/forwarding/order_lease_site_test.cc
@@ -132,7 +132,7 @@
   std::optional<uint64_t> told() const { return tells_era_ ? std::optional(store_.era()) : std::nullopt; }
   // Returns whether the answer counts.
   bool note(size_t gateway, uint64_t version, std::optional<uint64_t> era, absl::Time began) {
-    return lives_[gateway]->history.note({version, era, began, now_}) != StoreFinding::kOutdated;
+    return lives_[gateway]->history.note({version, era, began, now_}) != StoreContinuity::kOutdated;
   }
 
   // fate 0: done and answered; 1: done, the answer lost; 2: done late, not answered; 3: never done.
@@ -150,7 +150,7 @@
     if (done && counts) {
       leaseOf(gateway).onWritten(version, {clock, began, now_});
     } else {
-      leaseOf(gateway).onNotWritten();
+      leaseOf(gateway).onWriteFailed();
     }
   }
 
--- a/tests/forwarding/order_lease_test.cc
+++ b/tests/forwarding/order_lease_test.cc
@@ -8,7 +8,7 @@
 constexpr absl::Duration kLength = absl::Seconds(3);
 
 // How long after its take a lease, which is renewed, allows the first order.
-absl::Duration firstOrderAfter(OrderLease& lease, const StoreMoment& take) {
+absl::Duration firstOrderAfter(OrderLease& lease, const StoreCallTiming& take) {
   constexpr absl::Duration step = absl::Milliseconds(100);
   absl::Duration passed = absl::ZeroDuration();
   while (!lease.mayOrder(take.ended + passed) && passed < absl::Minutes(1)) {
@@ -29,7 +29,7 @@
   const auto orders_wait = [&](absl::Duration since_end) {
     const StoreHistory history;
     OrderLease lease(NodeId("self"), kLength, history);
-    const StoreMoment moment{last.until + since_end, now, now};
+    const StoreCallTiming moment{last.until + since_end, now, now};
     REQUIRE(lease.onRead(last, 7, moment).has_value());
     lease.onWritten(8, moment);
     absl::Duration wait = absl::ZeroDuration();
@@ -52,7 +52,7 @@
   OrderLease first(NodeId("front-1"), kLength, history);
   OrderLease second(NodeId("front-2"), kLength, history);
   const auto take = [now](OrderLease& lease, absl::Duration after) {
-    const StoreMoment moment{absl::Seconds(100) + after, now + after, now + after};
+    const StoreCallTiming moment{absl::Seconds(100) + after, now + after, now + after};
     REQUIRE(lease.onRead(std::nullopt, 0, moment).has_value());
     lease.onWritten(1, moment);
   };
@@ -71,13 +71,13 @@
   const LeaseRecord other{NodeId("other"), Epoch(4), absl::Seconds(100)};
   const StoreHistory history;
   OrderLease lease(NodeId("self"), kLength, history);
-  const StoreMoment first{other.until + absl::Milliseconds(200), now, now};
+  const StoreCallTiming first{other.until + absl::Milliseconds(200), now, now};
   const auto taken = lease.onRead(other, 7, first);
   REQUIRE(taken.has_value());
   lease.onWritten(8, first);
-  lease.onNotWritten();  // a renewal without an answer
+  lease.onWriteFailed();  // a renewal without an answer
   const absl::Time later = now + absl::Milliseconds(300);
-  const StoreMoment second{other.until + absl::Milliseconds(500), later, later};
+  const StoreCallTiming second{other.until + absl::Milliseconds(500), later, later};
   REQUIRE(lease.onRead(taken->record, 8, second).has_value());
   lease.onWritten(9, second);
   CHECK_FALSE(lease.mayOrder(now + absl::Milliseconds(1799)));
@@ -90,7 +90,7 @@
   const StoreHistory history;
   OrderLease lease(NodeId("self"), kLength, history);
   const LeaseRecord last{NodeId("other"), Epoch(4), absl::Hours(9)};
-  const StoreMoment moment{absl::Seconds(50), now, now};
+  const StoreCallTiming moment{absl::Seconds(50), now, now};
   REQUIRE(lease.onRead(last, 7, moment).has_value());
   lease.onWritten(8, moment);
   CHECK(firstOrderAfter(lease, moment) == absl::Seconds(5));
@@ -103,7 +103,7 @@
   history.note({5, 1, now - absl::Minutes(1), now - absl::Minutes(1)});
   history.note({3, 2, now - absl::Seconds(1), now - absl::Seconds(1)});
   OrderLease lease(NodeId("self"), kLength, history);
-  const StoreMoment moment{absl::Seconds(50), now, now};
+  const StoreCallTiming moment{absl::Seconds(50), now, now};
   REQUIRE(lease.onRead(std::nullopt, 0, moment).has_value());
   lease.onWritten(8, moment);
   CHECK(firstOrderAfter(lease, moment) == absl::Seconds(4));
@@ -114,7 +114,7 @@
   const absl::Time now = absl::UnixEpoch() + absl::Hours(1);
   const StoreHistory history;
   OrderLease lease(NodeId("self"), kLength, history);
-  const StoreMoment moment{absl::Seconds(50), now, now};
+  const StoreCallTiming moment{absl::Seconds(50), now, now};
   REQUIRE(lease.onRead(std::nullopt, 7, moment).has_value());
   lease.onWritten(8, moment);
   CHECK(firstOrderAfter(lease, moment) == absl::Seconds(5));
@@ -127,7 +127,7 @@
   StoreHistory history;
   history.note({5, 1, now - absl::Minutes(1), now - absl::Minutes(1)});
   OrderLease lease(NodeId("self"), kLength, history);
-  const StoreMoment taken{absl::Seconds(100), now, now};
+  const StoreCallTiming taken{absl::Seconds(100), now, now};
   REQUIRE(lease.onRead(std::nullopt, 0, taken).has_value());
   lease.onWritten(6, taken);
   CHECK(lease.mayOrder(now));
@@ -144,7 +144,7 @@
   const absl::Time now = absl::UnixEpoch() + absl::Hours(1);
   const StoreHistory history;
   const LeaseRecord forgotten{NodeId("other"), Epoch(4), absl::Seconds(100)};
-  const StoreMoment moment{forgotten.until + absl::Seconds(60), now, now};
+  const StoreCallTiming moment{forgotten.until + absl::Seconds(60), now, now};
   OrderLease lease(NodeId("self"), kLength, history);
   REQUIRE(lease.onRead(forgotten, 7, moment, now - absl::Seconds(3)).has_value());
   lease.onWritten(8, moment);
@@ -169,7 +169,7 @@
     const auto taken = earlier.onRead(other, 7, {other.until + absl::Milliseconds(200), now, now});
     REQUIRE(taken.has_value());
     OrderLease later(NodeId("self"), kLength, history);
-    const StoreMoment moment{other.until + absl::Milliseconds(900), now, now};
+    const StoreCallTiming moment{other.until + absl::Milliseconds(900), now, now};
     REQUIRE(later.onRead(taken->record, 8, moment).has_value());
     later.onWritten(9, moment);
     return firstOrderAfter(later, moment);
@@ -185,7 +185,7 @@
   const absl::Time restored = absl::UnixEpoch() + absl::Hours(1);
   const auto at = [restored](int64_t milliseconds) {
     const absl::Time now = restored + absl::Milliseconds(milliseconds);
-    return StoreMoment{absl::Seconds(100) + absl::Milliseconds(milliseconds), now, now};
+    return StoreCallTiming{absl::Seconds(100) + absl::Milliseconds(milliseconds), now, now};
   };
   StoreHistory history;
   history.note({3, 5, restored, restored});
@@ -207,7 +207,7 @@
   const absl::Time now = absl::UnixEpoch() + absl::Hours(1);
   const StoreHistory history;
   const LeaseRecord own{NodeId("self"), Epoch(5), absl::Seconds(103)};
-  const StoreMoment moment{absl::Milliseconds(100300), now, now};
+  const StoreCallTiming moment{absl::Milliseconds(100300), now, now};
   OrderLease lease(NodeId("self"), kLength, history);
   REQUIRE(lease.onRead(own, 8, moment).has_value());
   lease.onWritten(9, moment);
@@ -218,7 +218,7 @@
 TEST_CASE("the next take is above a fence that was seen elsewhere") {
   const absl::Time now = absl::UnixEpoch() + absl::Hours(1);
   const StoreHistory history;
-  const StoreMoment moment{absl::Seconds(100), now, now};
+  const StoreCallTiming moment{absl::Seconds(100), now, now};
   OrderLease lease(NodeId("self"), kLength, history);
   REQUIRE(lease.onRead(std::nullopt, 0, moment).has_value());
   lease.onWritten(1, moment);
--- a/tests/forwarding/reader_election_test.cc
+++ b/tests/forwarding/reader_election_test.cc
@@ -177,11 +177,11 @@
   election.decide(reader, true, start);
   const absl::Time follows_since = start + absl::Milliseconds(700);
   REQUIRE(election.decide(reader, true, follows_since).follows == NodeId("a"));
-  const absl::Duration oldest = ReaderElection::oldestConfiguration(absl::Seconds(5));
-  CHECK_FALSE(election.followsOutdated(confirmed, oldest, follows_since));
-  CHECK_FALSE(election.followsOutdated(confirmed, oldest, follows_since + absl::Milliseconds(200)));
-  CHECK(election.followsOutdated(confirmed, oldest, follows_since + absl::Seconds(1)));
-  CHECK_FALSE(election.followsOutdated(follows_since, oldest, follows_since + absl::Seconds(1)));
+  const absl::Duration oldest = ReaderElection::maxConfigurationAge(absl::Seconds(5));
+  CHECK_FALSE(election.followsStaleReader(confirmed, oldest, follows_since));
+  CHECK_FALSE(election.followsStaleReader(confirmed, oldest, follows_since + absl::Milliseconds(200)));
+  CHECK(election.followsStaleReader(confirmed, oldest, follows_since + absl::Seconds(1)));
+  CHECK_FALSE(election.followsStaleReader(follows_since, oldest, follows_since + absl::Seconds(1)));
 }
 
 }  // namespace
--- a/tests/forwarding/reader_zone.h
+++ b/tests/forwarding/reader_zone.h
@@ -12,8 +12,8 @@
 
 #include "forwarding/confirmation_schedule.h"
 #include "forwarding/lapsed_entries.h"
+#include "forwarding/polling_schedule.h"
 #include "forwarding/reader_election.h"
-#include "forwarding/reading_pace.h"
 
 namespace quincewick::forwarding {
 
@@ -31,11 +31,11 @@
 // Disturbed so lately, a gateway is not bound yet.
 inline constexpr absl::Duration kInTouchAfter = absl::Seconds(3);
 
-inline ReadingPaceSettings operatorPace(absl::Duration configuration_bound) {
+inline PollingScheduleSettings operatorPace(absl::Duration configuration_bound) {
   return {absl::Seconds(10), absl::ZeroDuration(), std::min(absl::Seconds(1), configuration_bound / 3)};
 }
 
-inline ReadingPaceSettings serverPace() {
+inline PollingScheduleSettings serverPace() {
   return {kBound / 16, kBound / 4, absl::Seconds(6)};
 }
 
@@ -56,8 +56,8 @@
   absl::Time disturbed = absl::InfinitePast();
   ReaderRole role;
   // As a reader.
-  ReadingPace operator_pace;
-  ReadingPace server_pace{serverPace()};
+  PollingSchedule operator_pace;
+  PollingSchedule server_pace{serverPace()};
   Asking operator_rows;
   Asking servers;
   Asking changes;
@@ -88,9 +88,9 @@
   bool isHeardToRead(absl::Time now) const { return isFrozen() ? said_to_read : readsWell(now); }
 
   bool readsWell(absl::Time now) const {
-    const bool is_list_fresh = now - own_as_of <= ReaderElection::oldestList(kBound);
+    const bool is_list_fresh = now - own_as_of <= ReaderElection::maxServerListAge(kBound);
     return is_alive && role.reads && !is_down && is_list_fresh &&
-           now - own_confirmed < ReaderElection::oldestConfiguration(configuration_bound);
+           now - own_confirmed < ReaderElection::maxConfigurationAge(configuration_bound);
   }
 };
 
@@ -203,26 +203,26 @@
     if (ask(gateway, gateway.operator_rows, failed)) {
       gateway.own_confirmed = now;
       gateway.is_down = false;
-      gateway.operator_rows.next = now + gateway.operator_pace.afterWhole(random_);
+      gateway.operator_rows.next = now + gateway.operator_pace.afterSnapshot(random_);
     } else if (failed) {
       gateway.is_down = true;
-      gateway.operator_rows.next = now + gateway.operator_pace.afterFailedWhole(random_);
+      gateway.operator_rows.next = now + gateway.operator_pace.afterFailedSnapshot(random_);
     }
     if (ask(gateway, gateway.servers, failed)) {
       const bool is_first = gateway.own_as_of == absl::InfinitePast();
       gateway.own_as_of = now;
-      gateway.servers.next = now + gateway.server_pace.afterWhole(random_);
+      gateway.servers.next = now + gateway.server_pace.afterSnapshot(random_);
       if (is_first) {
-        gateway.changes.next = now + gateway.server_pace.afterChanges();
+        gateway.changes.next = now + gateway.server_pace.afterDelta();
       }
     } else if (failed) {
-      gateway.servers.next = now + gateway.server_pace.afterFailedWhole(random_);
+      gateway.servers.next = now + gateway.server_pace.afterFailedSnapshot(random_);
     }
     if (ask(gateway, gateway.changes, failed)) {
       gateway.own_as_of = now;
-      gateway.changes.next = now + gateway.server_pace.afterChanges();
+      gateway.changes.next = now + gateway.server_pace.afterDelta();
     } else if (failed) {
-      gateway.changes.next = now + gateway.server_pace.afterFailedChanges();
+      gateway.changes.next = now + gateway.server_pace.afterFailedDelta();
     }
   }
 
@@ -265,21 +265,21 @@
 
   void drop(Gateway& gateway) const {
     const bool is_told = gateway.as_of >= leaves;
-    const bool is_awaited = leaves_without_word && gateway.lapsed.mayComeBack(now);
+    const bool is_awaited = leaves_without_word && gateway.lapsed.mayReappear(now);
     if (is_told && !is_awaited) {
       gateway.dropped = std::min(gateway.dropped, now);
     }
   }
 
   void tick(Gateway& gateway) {
-    const absl::Duration oldest_list = ReaderElection::oldestList(kBound);
+    const absl::Duration oldest_list = ReaderElection::maxServerListAge(kBound);
     const absl::Duration oldest_configuration =
-        ReaderElection::oldestConfiguration(gateway.configuration_bound);
+        ReaderElection::maxConfigurationAge(gateway.configuration_bound);
     const bool is_outdated =
-        gateway.election.followsOutdated(gateway.told_confirmed, oldest_configuration, now) ||
-        gateway.election.followsOutdated(gateway.as_of, oldest_list, now);
+        gateway.election.followsStaleReader(gateway.told_confirmed, oldest_configuration, now) ||
+        gateway.election.followsStaleReader(gateway.as_of, oldest_list, now);
     if (is_outdated) {
-      gateway.election.noteOutdated(*gateway.role.follows, now);
+      gateway.election.noteStaleReader(*gateway.role.follows, now);
     }
     std::vector<ReaderCandidate> live;
     for (const Gateway& other : gateways) {
@@ -292,7 +292,7 @@
     gateway.role = gateway.election.decide(live, answers, now);
     const bool hears_any = !live.empty();
     if (now - gateway.as_of > oldest_list && !gateway.election.hearsReader() && hears_any) {
-      gateway.lapsed.noteAway();
+      gateway.lapsed.noteStoreOutage();
     }
     if (gateway.role.reads && !was_reading) {
       gateway.operator_pace.restart();
@@ -319,11 +319,11 @@
         !gateway.schedule.isDue(bound, gateway.confirmed, hears_reader, now)) {
       return;
     }
-    gateway.schedule.noteAsked(now);
+    gateway.schedule.noteRequested(now);
     if (gateway.store_answers) {
       takeConfirmation(gateway);
     } else {
-      gateway.question_ends = now + ConfirmationSchedule::questionLimit(bound);
+      gateway.question_ends = now + ConfirmationSchedule::confirmationTimeout(bound);
     }
   }
 
--- a/tests/forwarding/rollout_planner_test.cc
+++ b/tests/forwarding/rollout_planner_test.cc
@@ -29,7 +29,7 @@
 
 struct Outcome {
   uint32_t loads = 0;
-  uint32_t most_at_once = 0;
+  uint32_t max_concurrent_loads = 0;
   absl::Duration least_spare = absl::InfiniteDuration();  // emptying, over what an engine was owed
   uint32_t late = 0;  // versions that were not on every engine by their bound
 };
@@ -39,8 +39,8 @@
 absl::Duration owedEmptying(const std::vector<RolloutEngine>& fleet, const WeightsRegister& weights,
                             absl::Duration load_time, absl::Time reserved) {
   const RolloutSettings settings;
-  const size_t at_once = std::max<size_t>(settings.most_at_once, fleet.size() / 5);
-  absl::Duration owed = settings.shortest_emptying;
+  const size_t at_once = std::max<size_t>(settings.max_concurrent_loads, fleet.size() / 5);
+  absl::Duration owed = settings.min_drain_time;
   for (WeightsVersion version(1); version < weights.newest(kModel);
        version = WeightsVersion(version.value() + 1)) {
     const auto due = std::count_if(fleet.begin(), fleet.end(), [version](const RolloutEngine& engine) {
@@ -95,7 +95,7 @@
       ++outcome.loads;
       ++loading;
     }
-    outcome.most_at_once = std::max(outcome.most_at_once, loading);
+    outcome.max_concurrent_loads = std::max(outcome.max_concurrent_loads, loading);
     for (size_t version = 0; version < named.size(); ++version) {
       const bool is_due = now == start + named[version] + kBound;
       for (const RolloutEngine& engine : fleet) {
@@ -119,7 +119,8 @@
     const Outcome outcome = play(count, load_time, named);
     RC_ASSERT(outcome.late == 0);
     RC_ASSERT(outcome.least_spare >= absl::ZeroDuration());
-    RC_ASSERT(outcome.most_at_once <= std::max<size_t>(RolloutSettings().most_at_once, count / 5));
+    RC_ASSERT(outcome.max_concurrent_loads <=
+              std::max<size_t>(RolloutSettings().max_concurrent_loads, count / 5));
   }));
 }
 
@@ -127,7 +128,7 @@
   const auto named = {absl::Seconds(2), absl::Milliseconds(5200), absl::Milliseconds(8400),
                       absl::Milliseconds(11600)};
   RolloutSettings settings;
-  settings.patience = absl::InfiniteDuration();
+  settings.start_delay = absl::InfiniteDuration();
   const Outcome outcome = play(12, absl::Milliseconds(900), named, settings);
   CHECK(outcome.late == 0);
   CHECK(outcome.loads <= 30);  // 48 with a load for each version
@@ -142,7 +143,7 @@
   const auto plan = planRollout(engines(90), kModel, weights, kBound, absl::Seconds(1), {}, now);
   CHECK(plan.is_due);
   const Outcome outcome = play(90, absl::Seconds(1), {absl::Seconds(2)});
-  CHECK(outcome.most_at_once == 18);
+  CHECK(outcome.max_concurrent_loads == 18);
   CHECK(outcome.late == 0);
 }
 
@@ -164,7 +165,7 @@
   }
   const absl::Time soon = named + absl::Milliseconds(250);
   CHECK(planRollout(fleet, kModel, weights, kBound, absl::Milliseconds(500), {}, soon).order.empty());
-  const absl::Time emptied = named + RolloutSettings().emptying;
+  const absl::Time emptied = named + RolloutSettings().max_drain_time;
   CHECK(planRollout(fleet, kModel, weights, kBound, absl::Milliseconds(500), {}, emptied).order.size() == 2);
   for (RolloutEngine& engine : fleet) {
     engine.running = 0;
@@ -252,7 +253,7 @@
     return planRollout(fleet, kModel, weights, kBound, load_time, {}, now).order.size() == 1;
   };
   CHECK_FALSE(is_ordered_after(absl::Milliseconds(199)));
-  CHECK(is_ordered_after(RolloutSettings().shortest_emptying));
+  CHECK(is_ordered_after(RolloutSettings().min_drain_time));
   fleet[0].running = 3;
   CHECK_FALSE(is_ordered_after(absl::Milliseconds(299)));
   CHECK(is_ordered_after(absl::Milliseconds(300)));
--- a/tests/forwarding/row_cache_test.cc
+++ b/tests/forwarding/row_cache_test.cc
@@ -34,7 +34,7 @@
   std::map<std::string, std::string> rows;
   uint64_t version = 0;
 
-  void take(const TableNews& news) {
+  void take(const TableUpdate& news) {
     if (news.is_whole) {
       rows.clear();
     }
@@ -84,7 +84,7 @@
         cache.take({all, true, version, absl::UnixEpoch() + absl::Seconds(step)});
       }
       if (*rc::gen::inRange(0, 3) == 0) {
-        asker.take(cache.newsAfter(asker.version));
+        asker.take(cache.updateSince(asker.version));
       }
     }
     std::vector<StoreRow> all;
@@ -94,7 +94,7 @@
       expected[name] = meaning(kept.value);
     }
     cache.take({all, true, version, absl::UnixEpoch()});
-    asker.take(cache.newsAfter(asker.version));
+    asker.take(cache.updateSince(asker.version));
     RC_ASSERT(asker.rows == expected);
   }));
 }
@@ -127,14 +127,14 @@
     };
     // What the store answered, taken now or later.
     const auto feed = [&] {
-      TableNews news;
+      TableUpdate news;
       std::copy_if(log.begin(), log.end(), std::back_inserter(news.rows),
                    [&](const StoreRow& changed) { return changed.version > followed; });
       news.version = version;
       followed = version;
       return news;
     };
-    const auto page = [&](const std::string& from, const std::string& to, TableNews& whole) {
+    const auto page = [&](const std::string& from, const std::string& to, TableUpdate& whole) {
       for (const auto& [key, kept] : store) {
         if (key >= from && key < to) {
           whole.rows.push_back(kept);
@@ -143,27 +143,27 @@
     };
     for (int round = 0; round < 12; ++round) {
       changes();
-      TableNews whole;
+      TableUpdate whole;
       whole.is_whole = true;
       whole.version = version;
       page("a", "d", whole);
       changes();
-      std::vector<TableNews> told;
-      if (cache.isFilled() && *rc::gen::arbitrary<bool>()) {
+      std::vector<TableUpdate> told;
+      if (cache.hasSnapshot() && *rc::gen::arbitrary<bool>()) {
         told.push_back(feed());
       }
       changes();
       page("d", "z", whole);
       changes();
-      if (cache.isFilled() && *rc::gen::arbitrary<bool>()) {
+      if (cache.hasSnapshot() && *rc::gen::arbitrary<bool>()) {
         told.push_back(feed());
       }
       const bool is_whole_first = *rc::gen::arbitrary<bool>();
-      const bool was_filled = cache.isFilled();
+      const bool was_filled = cache.hasSnapshot();
       if (is_whole_first) {
         cache.take(whole);
       }
-      for (const TableNews& news : told) {
+      for (const TableUpdate& news : told) {
         cache.take(news);
       }
       if (!is_whole_first) {
@@ -178,7 +178,7 @@
         expected[key] = kept.value;
       }
       Asker asker;
-      asker.take(cache.newsAfter(0));
+      asker.take(cache.updateSince(0));
       RC_ASSERT(asker.rows == expected);
     }
   }));
@@ -190,11 +190,11 @@
   RowCache before = makeCache();
   before.take({{row("stays", "1", 3), row("leaves", "1", 4)}, true, 5, absl::UnixEpoch()});
   Asker asker;
-  asker.take(before.newsAfter(0));
+  asker.take(before.updateSince(0));
   REQUIRE(asker.rows.size() == 2);
   RowCache after = makeCache();
   after.take({{row("stays", "1", 3)}, true, 8, absl::UnixEpoch()});
-  asker.take(after.newsAfter(asker.version));
+  asker.take(after.updateSince(asker.version));
   CHECK(asker.rows.size() == 1);
 }
 
@@ -204,10 +204,10 @@
   reader.take({{row("stays", "1", 3), row("leaves", "1", 4)}, true, 5, absl::UnixEpoch()});
   RowCache follower = makeCache();
   Asker other;
-  follower.take(reader.newsAfter(0));
-  other.take(reader.newsAfter(0));
+  follower.take(reader.updateSince(0));
+  other.take(reader.updateSince(0));
   follower.take({{row("stays", "1", 3), row("new", "1", 7)}, true, 8, absl::UnixEpoch()});
-  const TableNews news = follower.newsAfter(other.version);
+  const TableUpdate news = follower.updateSince(other.version);
   CHECK_FALSE(news.is_whole);
   CHECK(news.rows.size() == 2);
   other.take(news);
@@ -220,14 +220,14 @@
   const uint64_t last_change = cache.lastChange();
   cache.take({{row("a", "1/y", 6)}, false, 6, absl::InfinitePast()});
   CHECK(cache.lastChange() == last_change);
-  CHECK(cache.newsAfter(5).rows.empty());
+  CHECK(cache.updateSince(5).rows.empty());
   cache.take({{row("a", "2/y", 7)}, false, 7, absl::InfinitePast()});
-  CHECK(cache.newsAfter(5).rows.size() == 1);
+  CHECK(cache.updateSince(5).rows.size() == 1);
 }
 
 TEST_CASE("only whole readings confirm; every answer is counted and tells as of when the rows are") {
   RowCache cache = makeCache();
-  CHECK_FALSE(cache.isFilled());
+  CHECK_FALSE(cache.hasSnapshot());
   const absl::Time began = absl::UnixEpoch() + absl::Seconds(3);
   cache.take({{}, true, 4, began});
   CHECK(cache.readings() == 1);
@@ -235,8 +235,8 @@
   cache.take({{row("a", "1", 5)}, false, 5, absl::InfinitePast(), asked});
   CHECK(cache.confirmed() == began);
   CHECK(cache.readings() == 2);
-  CHECK(cache.newsAfter(4).confirmed == began);
-  CHECK(cache.newsAfter(4).as_of == asked);
+  CHECK(cache.updateSince(4).confirmed == began);
+  CHECK(cache.updateSince(4).as_of == asked);
   CHECK(cache.asOf() == asked);
 }
 
@@ -250,7 +250,7 @@
     leaves.is_gone = true;
     cache.take({{leaves}, false, version, absl::InfinitePast()});
   }
-  const TableNews news = cache.newsAfter(2);
+  const TableUpdate news = cache.updateSince(2);
   CHECK(news.is_whole);
   CHECK(news.rows.size() == 1);
 }
--- a/tests/forwarding/server_directory_test.cc
+++ b/tests/forwarding/server_directory_test.cc
@@ -40,7 +40,7 @@
   draining.is_draining = true;
   directory.upsert(draining);
   directory.upsert(entry("a"));
-  CHECK_FALSE(directory.find("a")->takesWork(kNow));
+  CHECK_FALSE(directory.find("a")->isEligible(kNow));
 }
 
 TEST_CASE("a server that went frees its slot, and what was believed of it is void") {
@@ -51,7 +51,7 @@
   for (const std::string& id : directory.missingFrom({})) {
     directory.remove(id);
   }
-  CHECK_FALSE(server->takesWork(kNow));
+  CHECK_FALSE(server->isEligible(kNow));
   CHECK(directory.ofService(kService).empty());
   CHECK(directory.takeFreedSlots() == std::vector<EngineSlot>{server->slot});
   directory.upsert(entry("b"));
@@ -102,7 +102,7 @@
   directory.upsert(entry("a"));
   const auto server = directory.find("a");
   server->own = {2, 300};
-  server->noteBooked({10, 5000}, kNow);
+  server->noteOwnerLoad({10, 5000}, kNow);
   CHECK(server->load(kNow).running == 10);
   server->own = {3, 200};
   CHECK(server->load(kNow + absl::Milliseconds(300)).running == 11);
@@ -116,8 +116,8 @@
   const auto server = directory.find("a");
   ServerDirectory::noteConnectFailure(*server, kNow);
   const absl::Time first = server->ejected_until;
-  CHECK_FALSE(server->takesWork(kNow));
-  CHECK(server->takesWork(first));
+  CHECK_FALSE(server->isEligible(kNow));
+  CHECK(server->isEligible(first));
   ServerDirectory::noteConnectFailure(*server, first);
   CHECK(server->ejected_until - first > first - kNow);
 }
@@ -167,14 +167,14 @@
   CHECK_FALSE(server->back_pressure->noteRateLimit(4));
   CHECK(server->back_pressure->timePerRequest() == absl::Milliseconds(250));
   server->back_pressure->noteRateUsedUp(absl::Milliseconds(300), kNow);
-  CHECK_FALSE(server->takesWork(kNow + absl::Milliseconds(299)));
+  CHECK_FALSE(server->isEligible(kNow + absl::Milliseconds(299)));
   CHECK(firstFree(directory.ofService(kService), kNow) == kNow + absl::Milliseconds(300));
-  CHECK(server->takesWork(kNow + absl::Milliseconds(300)));
+  CHECK(server->isEligible(kNow + absl::Milliseconds(300)));
   server->back_pressure->noteRateUsedUp(absl::Hours(1), kNow);
-  CHECK(server->takesWork(kNow + absl::Seconds(1)));
+  CHECK(server->isEligible(kNow + absl::Seconds(1)));
   server->back_pressure->noteRateUsedUp(absl::Seconds(1), kNow);
   CHECK(server->back_pressure->noteRateLimit(std::nullopt));
-  CHECK(server->takesWork(kNow));
+  CHECK(server->isEligible(kNow));
 }
 
 TEST_CASE("no time to return is told while a server is free or all have left") {
@@ -199,15 +199,15 @@
   CHECK(directory.find("a")->back_pressure->noteLeaving());
   CHECK_FALSE(directory.find("a")->back_pressure->noteLeaving());
   directory.upsert(first);
-  CHECK_FALSE(directory.find("a")->takesWork(kNow));
+  CHECK_FALSE(directory.find("a")->isEligible(kNow));
   directory.remove("a");
   directory.upsert(first);
-  CHECK_FALSE(directory.find("a")->takesWork(kNow));
+  CHECK_FALSE(directory.find("a")->isEligible(kNow));
   CHECK_FALSE(directory.find("a")->mayReceive(kNow));
   ServerEntry second = first;
   second.started = kNow + absl::Seconds(1);
   directory.upsert(second);
-  CHECK(directory.find("a")->takesWork(kNow));
+  CHECK(directory.find("a")->isEligible(kNow));
 }
 
 }  // namespace
--- a/tests/forwarding/server_starts_test.cc
+++ b/tests/forwarding/server_starts_test.cc
@@ -40,16 +40,16 @@
   earlier->own = {3, 900};
   ServerDirectory::noteFailure(*earlier, 4, kNow);
   ServerDirectory::noteConnectFailure(*earlier, kNow);
-  earlier->noteBooked({3, 900}, kNow);
+  earlier->noteOwnerLoad({3, 900}, kNow);
 
   REQUIRE(directory.upsert(entry(kSecondStart, 1)) == EntryEffect::kRestarted);
   const auto later = directory.find("a");
   REQUIRE(later != earlier);
-  CHECK(later->takesWork(kNow));
+  CHECK(later->isEligible(kNow));
   CHECK(later->load(kNow).running == 0);
   CHECK(later->failureScore(kNow) == 0);
   CHECK(later->versionOf(kModel) == WeightsVersion(1));
-  CHECK_FALSE(earlier->takesWork(kNow));
+  CHECK_FALSE(earlier->isEligible(kNow));
   CHECK(directory.ofService(kService).size() == 1);
 }
 
@@ -63,7 +63,7 @@
     directory.remove("a");
   }
   directory.upsert(entry(kSecondStart));
-  CHECK(directory.find("a")->takesWork(kNow));
+  CHECK(directory.find("a")->isEligible(kNow));
 }
 
 TEST_CASE("an older start never replaces a newer one, also after the entry went") {
@@ -165,11 +165,11 @@
   directory.upsert(entry(kFirstStart));
   const auto server = directory.find("a");
   directory.setReadable("a", false);
-  CHECK_FALSE(server->takesWork(kNow));
+  CHECK_FALSE(server->isEligible(kNow));
   CHECK_FALSE(server->isLeaving());
   directory.upsert(entry(kFirstStart));
   CHECK(directory.find("a") == server);
-  CHECK(server->takesWork(kNow));
+  CHECK(server->isEligible(kNow));
 }
 
 // Any order of entries, reports and removals, told by any way: the directory holds the latest start that it
@@ -208,7 +208,7 @@
       RC_ASSERT(started == absl::InfinitePast() || started == startOf(latest));
       RC_ASSERT(directory.findByHash(now_there->identity_hash) == now_there);
       for (const auto& [earlier, life] : lives) {
-        RC_ASSERT(life == now_there || !life->takesWork(kNow));
+        RC_ASSERT(life == now_there || !life->isEligible(kNow));
       }
       lives[now_there->entry.started == absl::InfinitePast() ? -1 : latest] = now_there;
     }
--- a/tests/gateway/configuration_confirmer_test.cc
+++ b/tests/gateway/configuration_confirmer_test.cc
@@ -8,14 +8,14 @@
 namespace quincewick::gateway {
 namespace {
 
-using forwarding::TableNews;
+using forwarding::TableUpdate;
 
 // A gateway's core with a configuration that was confirmed so long ago, on a reactor that the test turns.
 struct OutdatedCore : Fixture {
   Core core{RunningGateway::settings("a", site.secondStoreAddress(), site),
             platform_dialect::makePlatformDialect(), -1};
-  std::optional<TableNews> news;
-  ConfigurationConfirmer confirmer{core, [this](const TableNews& told) { news = told; }};
+  std::optional<TableUpdate> news;
+  ConfigurationConfirmer confirmer{core, [this](const TableUpdate& told) { news = told; }};
   const absl::Time begin = reactor::steadyNow();
 
   OutdatedCore() {
--- a/tests/gateway/server_list_test.cc
+++ b/tests/gateway/server_list_test.cc
@@ -19,7 +19,7 @@
   uint64_t version = 0;
 
   void take(const std::string& id, const std::string& value, bool is_whole = false) {
-    forwarding::TableNews news;
+    forwarding::TableUpdate news;
     news.rows.push_back({"servers", id, value, ++version, false});
     news.is_whole = is_whole;
     news.version = version;
@@ -29,9 +29,9 @@
     return R"({"service":"pool","address":"10.0.0.1:80","zone":"z","slots":4,"state":")" + state +
            R"(","born":)" + std::to_string(born) + "}";
   }
-  bool takesWork(const std::string& id) const {
+  bool isEligible(const std::string& id) const {
     const auto server = core.directory.find(id);
-    return server != nullptr && server->takesWork(kNow);
+    return server != nullptr && server->isEligible(kNow);
   }
   size_t linesWith(const std::string& text) const {
     size_t count = 0;
@@ -48,7 +48,7 @@
   fixture.take("a", Fixture::entry(kFirstStart), true);
   fixture.take("b", "\xff{nonsense");
   CHECK(fixture.core.directory.find("b") == nullptr);
-  CHECK(fixture.takesWork("a"));
+  CHECK(fixture.isEligible("a"));
 }
 
 TEST_CASE("an unreadable row is told once, not at each heartbeat") {
@@ -64,9 +64,9 @@
   fixture.take("a", Fixture::entry(kFirstStart), true);
   const auto server = fixture.core.directory.find("a");
   fixture.take("a", Fixture::entry(kFirstStart, "draning"));
-  CHECK_FALSE(fixture.takesWork("a"));
+  CHECK_FALSE(fixture.isEligible("a"));
   fixture.take("a", Fixture::entry(kFirstStart));
-  CHECK(fixture.takesWork("a"));
+  CHECK(fixture.isEligible("a"));
   CHECK(fixture.core.directory.find("a") == server);
 }
 
@@ -82,9 +82,9 @@
   fixture.take("a", Fixture::entry(kFirstStart), true);
   const auto earlier = fixture.core.directory.find("a");
   fixture.take("a", Fixture::entry(kFirstStart, "draining"));
-  CHECK_FALSE(fixture.takesWork("a"));
+  CHECK_FALSE(fixture.isEligible("a"));
   fixture.take("a", Fixture::entry(kFirstStart + 5000));
-  CHECK(fixture.takesWork("a"));
+  CHECK(fixture.isEligible("a"));
   CHECK(fixture.core.directory.find("a") != earlier);
   CHECK(fixture.linesWith("server_restarted") == 1);
 }
@@ -95,7 +95,7 @@
   for (int told = 0; told < 3; ++told) {
     fixture.take("a", Fixture::entry(kFirstStart - 1, "draining"));
   }
-  CHECK(fixture.takesWork("a"));
+  CHECK(fixture.isEligible("a"));
   CHECK(fixture.linesWith("row_refused") == 1);
 }
 
@@ -103,7 +103,7 @@
   Fixture fixture;
   const int64_t ahead = absl::ToUnixMillis(absl::Now() + absl::Hours(24 * 365));
   fixture.take("a", Fixture::entry(ahead), true);
-  CHECK(fixture.takesWork("a"));
+  CHECK(fixture.isEligible("a"));
   CHECK(fixture.linesWith("row_refused") == 1);
   fixture.take("a", Fixture::entry(kFirstStart));
   CHECK(fixture.core.directory.find("a")->entry.started == absl::FromUnixMillis(kFirstStart));
