--- a/src/forwarding/confirmation_schedule.cc
+++ b/src/forwarding/confirmation_schedule.cc
@@ -4,10 +4,10 @@
 
 bool ConfirmationSchedule::isDue(absl::Duration bound, absl::Time confirmed,
                                  absl::FunctionRef<bool()> hears_reader, absl::Time now) const {
-  if (now - confirmed < maxTrustedAge(bound) || now - last_asked_ < confirmationTimeout(bound)) {
+  if (now - confirmed < maxTrustedAge(bound) || now - last_requested_ < confirmationTimeout(bound)) {
     return false;
   }
-  return now - last_asked_ >= bound || hears_reader();
+  return now - last_requested_ >= bound || hears_reader();
 }
 
 }  // namespace quincewick::forwarding
--- a/src/forwarding/lapsed_entries.cc
+++ b/src/forwarding/lapsed_entries.cc
@@ -3,24 +3,24 @@
 namespace quincewick::forwarding {
 namespace {
 
-// Without a reading for so long, entries may have lapsed: they go after three heartbeats of over a second,
-// and readings come every second or so.
+// After this time without a read, entries may have lapsed: they expire after three missed heartbeats of over
+// a second each, and the list is read about every second.
 constexpr absl::Duration kOutageThreshold = absl::Milliseconds(2200);
-// The platform promises that entries are back two seconds after its return; the rest is for the way here.
+// The platform guarantees that entries are back 2 s after its recovery; the rest covers their propagation.
 constexpr absl::Duration kReappearanceTime = absl::Milliseconds(2500);
 
 }  // namespace
 
 bool LapsedEntries::isOutage(absl::Time now) const {
-  return is_away_ && last_reading_ != absl::InfiniteFuture() && now - last_reading_ > kOutageThreshold;
+  return outage_noted_ && last_read_ != absl::InfiniteFuture() && now - last_read_ > kOutageThreshold;
 }
 
-void LapsedEntries::noteReading(absl::Time now) {
+void LapsedEntries::noteListRead(absl::Time now) {
   if (isOutage(now)) {
     awaited_until_ = now + kReappearanceTime;
   }
-  last_reading_ = now;
-  is_away_ = false;
+  last_read_ = now;
+  outage_noted_ = false;
 }
 
 std::vector<std::string> LapsedEntries::takeLapsed(absl::Time now) {
--- a/src/forwarding/order_lease.cc
+++ b/src/forwarding/order_lease.cc
@@ -15,28 +15,31 @@
 namespace quincewick::forwarding {
 namespace {
 
-constexpr absl::Duration kAcquireMargin = absl::Milliseconds(100);  // after the end of another's lease
-constexpr absl::Duration kOrderMargin = absl::Milliseconds(1000);   // before the end of the own one
-// Datagrams that tell of a holder may take so long; a holder tells none after its lease's end.
+// After the expiry of another holder's lease, before it is acquired.
+constexpr absl::Duration kAcquireMargin = absl::Milliseconds(100);
+// Before the expiry of the own lease, when orders stop.
+constexpr absl::Duration kOrderMargin = absl::Milliseconds(1000);
+// Upper bound for the delay of a datagram that reports a holder; a holder sends none after its lease expired.
 constexpr absl::Duration kMaxReportDelay = absl::Milliseconds(500);
 
-// A fence is the store's era, its clock in these units, and bits that differ between holders, highest first.
+// A fencing token consists of the store's era, its clock in units of kFenceUnit, and a hash of the holder's
+// id, from the highest bits to the lowest.
 constexpr absl::Duration kFenceUnit = absl::Milliseconds(100);
 constexpr int kHolderBits = 18;
-constexpr int kClockBits = 35;  // a clock that began in 1970 is good until 2078
+constexpr int kClockBits = 35;  // enough for a clock that counts from 1970 until 2078
 constexpr uint64_t kHolderMask = (uint64_t{1} << kHolderBits) - 1;
 constexpr uint64_t kClockMask = (uint64_t{1} << kClockBits) - 1;
-constexpr uint64_t kHighestEra = 511;                  // later ones count as this one
-constexpr uint64_t kHighestFence = uint64_t{1} << 62;  // above it the next one has no room
+constexpr uint64_t kHighestEra = 511;                  // higher eras are clamped to it
+constexpr uint64_t kHighestFence = uint64_t{1} << 62;  // leaves room for the next, higher one
 
-constexpr const char* kEraSeparator = "@";  // between the holder's id and the era
-constexpr const char* kNoEra = "@-";        // behind an id that has a separator itself
+constexpr const char* kEraSeparator = "@";  // between holder id and era
+constexpr const char* kNoEra = "@-";        // marks a missing era after an id that contains the separator
 
 uint64_t holderBits(const NodeId& holder) {
   return XXH3_64bits(holder.value().data(), holder.value().size()) & kHolderMask;
 }
 
-// The store's clock when a holder took the lease under a fence of its own, or a little later.
+// The store's clock when the lease was acquired under this fencing token, rounded up by at most kFenceUnit.
 absl::Duration acquisitionClock(Epoch fence) {
   const uint64_t units = (fence.value() >> kHolderBits) & kClockMask;
   return static_cast<int64_t>(units + 1) * kFenceUnit;
@@ -79,27 +82,27 @@
     : self_(std::move(self)), length_(length), history_(history) {}
 
 std::optional<LeaseWrite> OrderLease::onRead(const std::optional<LeaseRecord>& record, uint64_t version,
-                                             const StoreCallTiming& moment, absl::Time holder_last_seen) {
+                                             const StoreCallTiming& timing, absl::Time holder_last_seen) {
   held_ = false;
-  last_moment_ = moment;
+  last_timing_ = timing;
   highest_fence_ = std::max(highest_fence_, record ? record->fence : Epoch());
-  // No holder's end is as far ahead as that: the clock was put back, or the record is spoilt.
-  const bool is_implausible = record && record->until > moment.store_clock + 2 * length_;
+  // No valid lease expires this far ahead: the clock was set back, or the record is corrupt.
+  const bool is_implausible = record && record->until > timing.store_clock + 2 * length_;
   const bool is_free = !record || is_implausible || record->holder == self_ ||
-                       moment.store_clock > record->until + kAcquireMargin;
+                       timing.store_clock > record->until + kAcquireMargin;
   if (!is_free) {
     return std::nullopt;
   }
-  const Epoch fence = nextFence(moment.store_clock);
-  first_order_ = firstOrderTime(record, version, moment, holder_last_seen);
+  const Epoch fence = nextFence(timing.store_clock);
+  first_order_time_ = firstOrderTime(record, version, timing, holder_last_seen);
   first_own_fence_ = record && isOfThisProcess(*record) ? first_own_fence_ : fence;
   generation_ = history_.generation();
   era_ = history_.era();
-  return prepare(fence, moment.store_clock + length_, version, moment.began + length_);
+  return prepare(fence, timing.store_clock + length_, version, timing.began + length_);
 }
 
-// Rises with the store's era and clock, also where the store forgot the row; two holders that read the same
-// get different ones.
+// Rises with the store's era and clock even if the store lost the row. The holder's bits make the tokens of
+// two nodes that read the same row differ.
 Epoch OrderLease::nextFence(absl::Duration store_clock) const {
   const uint64_t era = std::min(history_.era().value_or(0), kHighestEra);
   const auto units = static_cast<uint64_t>(std::max<int64_t>(store_clock / kFenceUnit, 0)) & kClockMask;
@@ -109,21 +112,21 @@
 }
 
 absl::Time OrderLease::firstOrderTime(const std::optional<LeaseRecord>& record, uint64_t version,
-                                      const StoreCallTiming& moment, absl::Time holder_last_seen) const {
-  absl::Time first = moment.ended;
+                                      const StoreCallTiming& timing, absl::Time holder_last_seen) const {
+  absl::Time first = timing.ended;
   if (record) {
-    first = std::max(first, firstOrderTimeByRecord(*record, moment));
+    first = std::max(first, firstOrderTimeByRecord(*record, timing));
   }
-  // It may have replaced the last holder's record: a write of an era that is over may be done late.
+  // The record may have replaced that of the last holder: a write from a past era may be applied late.
   const bool may_mask_holder = record ? record->era && record->era != history_.era() : version > 0;
   if (may_mask_holder) {
-    first = std::max(first, moment.ended + maxHolderWait());
+    first = std::max(first, timing.ended + maxHolderWait());
   }
   const bool proves_holder = record && record->era && record->era == history_.era();
   if (!proves_holder) {
     first = std::max(first, history_.continuousSince() + maxHolderWait());
   }
-  const absl::Time end = record ? moment.ended + (record->until - moment.store_clock) : absl::InfinitePast();
+  const absl::Time end = record ? timing.ended + (record->until - timing.store_clock) : absl::InfinitePast();
   if (holder_last_seen > end + kMaxReportDelay) {
     first = std::max(first, holder_last_seen + maxHolderWait());  // the record is not the last holder's
   }
@@ -135,19 +138,20 @@
 }
 
 absl::Time OrderLease::firstOrderTimeByRecord(const LeaseRecord& record,
-                                              const StoreCallTiming& moment) const {
+                                              const StoreCallTiming& timing) const {
   if (isOfThisProcess(record)) {
-    return first_order_;
+    return first_order_time_;
   }
-  // An earlier life may have been waiting for the holder before it, since its take: for a forgotten one only
-  // where the store can go back, which then tells eras.
+  // An earlier incarnation of this node may still have been waiting for its predecessor since it acquired the
+  // lease. It waited for a holder whose record was lost only if the store reports eras, as a store that can
+  // be restored does.
   const bool has_acquisition_time =
       record.holder == self_ && (record.fence.value() & kHolderMask) == holderBits(self_);
   const absl::Duration max_wait_since_acquisition = record.era ? maxHolderWait() : length_ - kOrderMargin;
   const absl::Duration wait =
-      has_acquisition_time ? acquisitionClock(record.fence) + max_wait_since_acquisition - moment.store_clock
-                           : record.until + length_ - kOrderMargin - moment.store_clock;
-  return moment.ended + std::min(wait, maxHolderWait());
+      has_acquisition_time ? acquisitionClock(record.fence) + max_wait_since_acquisition - timing.store_clock
+                           : record.until + length_ - kOrderMargin - timing.store_clock;
+  return timing.ended + std::min(wait, maxHolderWait());
 }
 
 bool OrderLease::isOfThisProcess(const LeaseRecord& record) const {
@@ -165,18 +169,19 @@
   if (!holds(now)) {
     return std::nullopt;
   }
-  // The store's clock is at least this much now, and at most later by the last call's time.
-  const absl::Duration store_now = last_moment_.store_clock + (now - last_moment_.ended);
+  // A lower bound for the store's clock now; the true value is higher by at most the duration of the last
+  // call.
+  const absl::Duration store_now = last_timing_.store_clock + (now - last_timing_.ended);
   return prepare(record_.fence, store_now + length_, version_,
-                 now + length_ - (last_moment_.ended - last_moment_.began));
+                 now + length_ - (last_timing_.ended - last_timing_.began));
 }
 
-void OrderLease::onWritten(uint64_t version, const StoreCallTiming& moment) {
+void OrderLease::onWritten(uint64_t version, const StoreCallTiming& timing) {
   held_ = true;
   record_ = pending_write_.record;
   version_ = version;
   valid_until_ = pending_valid_until_;
-  last_moment_ = moment;
+  last_timing_ = timing;
 }
 
 void OrderLease::onWriteFailed() {
@@ -188,13 +193,14 @@
   highest_fence_ = std::max(highest_fence_, seen);
 }
 
-// What the store forgot since the take is no proof any more: another may hold the lease.
+// If the store was reverted after the lease was acquired, the acquisition may be lost and another node may
+// hold the lease.
 bool OrderLease::holds(absl::Time now) const {
   return held_ && now < valid_until_ && history_.generation() == generation_;
 }
 
 bool OrderLease::mayOrder(absl::Time now) const {
-  return holds(now) && now >= first_order_ && now < valid_until_ - kOrderMargin;
+  return holds(now) && now >= first_order_time_ && now < valid_until_ - kOrderMargin;
 }
 
 }  // namespace quincewick::forwarding
--- a/src/forwarding/order_lease.h
+++ b/src/forwarding/order_lease.h
@@ -1,10 +1,12 @@
-// The right to give orders to engines: one row of the store under a condition, timed by the store's own
-// steady clock. Whoever takes it gets a higher fence, so that orders of an earlier holder bounce.
+// The lease that permits a gateway to send weight-loading orders to engines: one row of the store, written
+// conditionally on its version and timed by the store's own steady clock. Each acquisition gets a higher
+// fencing token, so that engines reject orders of an earlier holder.
 //
-// A holder stops giving orders well before its lease ends, and a new one begins only when the last one's end
-// has passed by a whole lease: orders of two holders never take turns. Neither rests on the store's memory
-// alone: fences are made of its clock, and a holder that the store may have forgotten is waited for
-// (docs/design/order_lease.md). Pure; `now` is the node's steady clock.
+// A holder stops sending orders well before its lease expires, and a new holder starts only one full lease
+// length after the previous lease expired, so the orders of two holders never interleave. Neither guarantee
+// depends only on what the store remembers: fencing tokens are derived from the store's clock, and a new
+// holder also waits for a holder whose record the store may have lost (docs/design/order_lease.md).
+// Performs no I/O; `now` is the node's steady clock.
 #pragma once
 
 #include <absl/time/time.h>
@@ -18,29 +20,30 @@
 
 namespace quincewick::forwarding {
 
-// The row's value.
+// The value of the lease row.
 struct LeaseRecord {
   NodeId holder;
   Epoch fence;
-  absl::Duration until;  // by the store's clock
-  std::optional<uint64_t> era =
-      std::nullopt;  // of the store, when the lease was taken; nothing: it told none
+  absl::Duration until;  // expiry, by the store's clock
+  // The store's era when the lease was acquired; nullopt if the store reported none.
+  std::optional<uint64_t> era = std::nullopt;
 
   friend bool operator==(const LeaseRecord&, const LeaseRecord&) = default;
 };
 
 std::string printLeaseRecord(const LeaseRecord& record);
-// Nothing for a malformed text.
+// Returns nullopt if the text is malformed.
 std::optional<LeaseRecord> parseLeaseRecord(const std::string& text);
 
-// An answer of the store: its clock, and when the call began and ended by this node's clock.
+// When a call to the store took place: the store's clock in its response, and the start and end of the call
+// by this node's clock.
 struct StoreCallTiming {
   absl::Duration store_clock;
   absl::Time began;
   absl::Time ended;
 };
 
-// A row to write if its version still is the expected one.
+// A conditional write of the lease row: it succeeds only if the row still has the expected version.
 struct LeaseWrite {
   LeaseRecord record;
   uint64_t expected_version = 0;
@@ -48,42 +51,43 @@
 
 class OrderLease {
  public:
-  // `history`: of the store that has the row; it knows each answer before the lease does.
+  // `history` belongs to the store that holds the row and must be updated with each response before the lease
+  // is.
   OrderLease(NodeId self, absl::Duration length, const StoreHistory& history);
 
-  // The row as it is (nothing: it isn't there, or can't be read and has a version). Returns what to write to
-  // take the lease; nothing while another holds it. `holder_last_seen`: when another was last heard to hold
-  // it.
+  // Handles a read of the row. `record` is nullopt if the row does not exist (`version` 0) or cannot be
+  // parsed. Returns the write that acquires the lease, or nullopt while another node holds it.
+  // `holder_last_seen`: when another node last reported that it holds the lease.
   std::optional<LeaseWrite> onRead(const std::optional<LeaseRecord>& record, uint64_t version,
-                                   const StoreCallTiming& moment,
+                                   const StoreCallTiming& timing,
                                    absl::Time holder_last_seen = absl::InfinitePast());
-  // What to write to go on holding it; nothing where it is not held.
+  // Returns the write that renews the lease, or nullopt if it is not held.
   std::optional<LeaseWrite> renew(absl::Time now);
-  // The last write was done and the row has this version.
-  void onWritten(uint64_t version, const StoreCallTiming& moment);
-  // The last write was not done, or it is not known whether it was.
+  // The last write succeeded, and the row now has this version.
+  void onWritten(uint64_t version, const StoreCallTiming& timing);
+  // The last write failed, or its outcome is unknown.
   void onWriteFailed();
 
-  // Whether the row is held, as far as this node knows.
+  // Whether this node holds the lease, as far as it knows.
   bool holds(absl::Time now) const;
-  // Whether an order may be given now.
+  // Whether an order may be sent now.
   bool mayOrder(absl::Time now) const;
   Epoch fence() const { return record_.fence; }
-  // The row's, as the last write was answered.
+  // The version of the row after the last successful write.
   uint64_t version() const { return version_; }
   absl::Time validUntil() const { return valid_until_; }
-  // A higher fence is known elsewhere, if told which: this holder is not the last one.
+  // An order was rejected because a higher fencing token is known, `seen` if reported: a later holder exists.
   void onFenced(Epoch seen = Epoch());
 
  private:
   Epoch nextFence(absl::Duration store_clock) const;
   absl::Time firstOrderTime(const std::optional<LeaseRecord>& record, uint64_t version,
-                            const StoreCallTiming& moment, absl::Time holder_last_seen) const;
-  // After a moment at which another may have renewed its lease for the last time.
+                            const StoreCallTiming& timing, absl::Time holder_last_seen) const;
+  // How long to wait after the last moment at which another holder may have renewed its lease.
   absl::Duration maxHolderWait() const;
-  // After the last holder's end, as far as its record tells.
-  absl::Time firstOrderTimeByRecord(const LeaseRecord& record, const StoreCallTiming& moment) const;
-  // Written by this process, and no other's take came between.
+  // The time of the first order by what the record says of the previous holder's expiry.
+  absl::Time firstOrderTimeByRecord(const LeaseRecord& record, const StoreCallTiming& timing) const;
+  // Whether this process wrote the record, with no other holder's acquisition in between.
   bool isOfThisProcess(const LeaseRecord& record) const;
   LeaseWrite prepare(Epoch fence, absl::Duration until, uint64_t version, absl::Time valid_until);
 
@@ -94,13 +98,14 @@
   LeaseRecord record_;
   uint64_t version_ = 0;
   absl::Time valid_until_ = absl::InfinitePast();
-  Epoch highest_fence_;          // that this node has seen or written
-  Epoch first_own_fence_;        // of takes in a row that no other's came between
-  uint64_t generation_ = 0;      // of the store's history, when the row was read for the last take
-  std::optional<uint64_t> era_;  // the same
-  absl::Time first_order_ = absl::InfinitePast();
-  StoreCallTiming last_moment_;
-  LeaseWrite pending_write_;  // under way
+  Epoch highest_fence_;  // that this node has seen or written
+  // Of the current run of acquisitions by this process that no other holder interrupted.
+  Epoch first_own_fence_;
+  uint64_t generation_ = 0;      // of the store's history, when the row was read for the last acquisition
+  std::optional<uint64_t> era_;  // of the store, at the same moment
+  absl::Time first_order_time_ = absl::InfinitePast();
+  StoreCallTiming last_timing_;
+  LeaseWrite pending_write_;
   absl::Time pending_valid_until_ = absl::InfinitePast();
 };
 
--- a/src/forwarding/polling_schedule.h
+++ b/src/forwarding/polling_schedule.h
@@ -1,5 +1,5 @@
-// When one who follows a table of the store asks it next: whole readings, and questions after changes
-// between them. Pure.
+// When a reader of a table polls the store next: snapshot reads, and long polls for deltas in between.
+// Performs no I/O.
 #pragma once
 
 #include <absl/random/bit_gen_ref.h>
@@ -8,8 +8,8 @@
 namespace quincewick::forwarding {
 
 struct PollingScheduleSettings {
-  absl::Duration wait = absl::Seconds(2);       // of a question, for a change
-  absl::Duration pause = absl::ZeroDuration();  // between an answer and the next question
+  absl::Duration wait = absl::Seconds(2);       // how long the store holds a long poll without changes
+  absl::Duration pause = absl::ZeroDuration();  // between a response and the next long poll
   absl::Duration snapshot_period = absl::Seconds(1);
 };
 
@@ -17,16 +17,16 @@
  public:
   explicit PollingSchedule(const PollingScheduleSettings& settings) : settings_(settings) {}
 
-  // The following begins anew, with a whole reading.
+  // Polling starts again with a snapshot read.
   void restart();
-  // A whole reading failed: until the next one. Grows with each failure in a row.
+  // The pause from a failed snapshot read until the next one. Grows with each consecutive failure.
   absl::Duration afterFailedSnapshot(absl::BitGenRef random);
-  // A whole reading was answered: until the next one.
+  // The pause from a successful snapshot read until the next one.
   absl::Duration afterSnapshot(absl::BitGenRef random);
-  // From an answer, the first whole reading among them, until the next question after changes. A reader that
-  // has just begun looks as often as any: others go by its rows at once.
+  // The pause from a response, including that of the first snapshot read, until the next long poll. A new
+  // reader polls as often as any other, because followers use its rows at once.
   absl::Duration afterDelta() const { return settings_.pause; }
-  // A question after changes was not answered, or could not be asked.
+  // The pause after a long poll that got no response or could not be sent.
   absl::Duration afterFailedDelta() const { return kMinRetryPause; }
 
  private:
--- a/src/forwarding/reader_election.cc
+++ b/src/forwarding/reader_election.cc
@@ -9,19 +9,19 @@
 namespace quincewick::forwarding {
 namespace {
 
-// A better reader must be heard for so long before this one gives way.
+// How long a better reader must be known before this one yields to it.
 constexpr absl::Duration kYieldAfter = absl::Milliseconds(700);
-// Between the turns of those who may read next. The first few step in quickly, for a reader that went; the
-// others slowly: where the first few get no answers, the store is probably down for all, and each further
-// gateway that asks costs calls and learns nothing new.
+// Between the turns of the candidates. The first few step in quickly to replace a reader that stopped, the
+// others slowly: if the first few get no responses, the store is probably down for all, and each further
+// gateway costs calls and gains no information.
 constexpr TurnSchedule kTurns = {absl::Milliseconds(200), 3, absl::Milliseconds(500)};
-// Keys have a bound of their own, which this leaves time under.
+// The revocation of keys has a bound of its own; this leaves time within it.
 constexpr absl::Duration kMaxConfigurationAge = absl::Milliseconds(2800);
 constexpr absl::Duration kFailedReaderDistrust = absl::Seconds(3);
-// A reader whose rows are too old is noted as such several times a second while that lasts.
+// Short, because a reader with stale rows is noted as such several times a second while that lasts.
 constexpr absl::Duration kStaleReaderDistrust = absl::Milliseconds(300);
-// A reader answers a new follower's first question at once; this is for the way there and back, and for
-// machines that are slow at the moment.
+// A reader responds to the first request of a new follower at once; this covers the round trip and machines
+// that are temporarily slow.
 constexpr absl::Duration kFirstResponseTime = absl::Milliseconds(700);
 
 }  // namespace
--- a/src/forwarding/reader_election.h
+++ b/src/forwarding/reader_election.h
@@ -1,10 +1,12 @@
-// Which gateways of a zone read the store themselves, and whom the others follow: one reader a zone, with no
-// lease, for two readers do no harm and cost only calls.
+// Election of the zone reader: which gateways of a zone read the store themselves, and which reader the
+// others follow. A zone needs one reader; no lease enforces this, since a second reader does no harm and only
+// costs calls.
 //
-// A gateway reads when no peer of its zone is heard to read well; peers step in one after the other, the
-// better machines first. A reader that hears a better one gives way; one that the store does not answer
-// follows any that it does. Whose reader's rows are too old looks for another, and goes by them until it
-// finds one: old rows are better than none. Pure; `now` never goes back.
+// A gateway becomes a reader if no peer of its zone reports that it reads successfully; candidates step in
+// one after the other, machines of greater capacity first. A reader yields to a better one that it receives
+// reports of; a reader that gets no responses from the store follows any peer that does. A follower whose
+// reader's rows are stale looks for another reader and uses the stale rows until it finds one: old rows are
+// better than none. Performs no I/O; `now` never decreases.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -18,16 +20,16 @@
 
 namespace quincewick::forwarding {
 
-// A live peer of the own zone.
+// A live peer of this node's zone.
 struct ReaderCandidate {
   NodeId id;
-  double capacity = 0;  // of its machine; the greater reads first
-  bool reads_well = false;
+  double capacity = 0;      // of its machine; the greater one has priority
+  bool reads_well = false;  // it reads the store, and its rows are recent
 };
 
 struct ReaderRole {
   bool reads = false;
-  std::optional<NodeId> follows;  // nothing while it reads, or waits for its turn to
+  std::optional<NodeId> follows;  // nullopt while it reads, or waits for its turn to read
 
   friend bool operator==(const ReaderRole&, const ReaderRole&) = default;
 };
@@ -36,25 +38,26 @@
  public:
   ReaderElection(NodeId self, double capacity) : self_(std::move(self)), capacity_(capacity) {}
 
-  // How old a table's rows may be before those who go by them look for another reader. Rows of leaving
-  // servers must be known within a bound: half of it is for the reading itself, half for finding another
-  // reader, its first reading, and a request's way to its server.
+  // The age of the server list at which followers look for another reader. Leaving servers must be known
+  // within `drain_bound`: half of it is for the read itself, the other half for finding another reader, its
+  // first read, and the time that a request takes to reach its server.
   static absl::Duration maxServerListAge(absl::Duration drain_bound) { return drain_bound / 2; }
 
-  // The same of the operator's rows. `bound`: within which a configuration has to be in force.
+  // The same for the operator's rows. `bound`: the time within which a configuration must be in force.
   static absl::Duration maxConfigurationAge(absl::Duration bound);
 
-  // `live`: peers of the zone. `store_answers`: the own calls of the store succeed, as far as known.
+  // `live`: the live peers of the zone. `store_answers`: whether this node's calls to the store succeed, as
+  // far as known.
   const ReaderRole& decide(const std::vector<ReaderCandidate>& live, bool store_answers, absl::Time now);
-  // Whether the reader that is followed has no fresh rows: they are as of too long ago, and it has been
-  // followed for long enough to have answered.
+  // Whether the rows of the followed reader, which are as of `as_of`, are older than `oldest` although it has
+  // been followed for long enough to have responded.
   bool followsStaleReader(absl::Time as_of, absl::Duration oldest, absl::Time now) const;
-  // The reader that was followed has rows that are too old: another one is better.
+  // The followed reader has stale rows: other readers are preferred for a moment.
   void noteStaleReader(const NodeId& reader, absl::Time now);
-  // The reader that was followed does not answer: it is left.
+  // The followed reader does not respond: stops following it.
   void noteFailed(const NodeId& reader, absl::Time now);
   const ReaderRole& role() const { return role_; }
-  // Whether a peer was heard to read well, as of the last decision.
+  // Whether, at the last decision, a peer reported that it reads successfully.
   bool hearsReader() const { return hears_reader_; }
 
  private:
@@ -67,9 +70,9 @@
   ReaderRole role_;
   bool hears_reader_ = false;
   absl::Time follows_since_ = absl::InfinitePast();
-  absl::Time better_since_ = absl::InfiniteFuture();      // a better reader is heard since then
-  absl::Time leaderless_since_ = absl::InfiniteFuture();  // nobody is heard to read well
-  absl::flat_hash_map<NodeId, absl::Time> failed_;        // not trusted until then
+  absl::Time better_since_ = absl::InfiniteFuture();      // since when a better reader has been known
+  absl::Time leaderless_since_ = absl::InfiniteFuture();  // since when no peer has read successfully
+  absl::flat_hash_map<NodeId, absl::Time> failed_;        // until when each is not trusted
 };
 
 }  // namespace quincewick::forwarding
--- a/src/forwarding/rollout_planner.cc
+++ b/src/forwarding/rollout_planner.cc
@@ -7,12 +7,12 @@
 namespace {
 
 constexpr double kSmoothing = 0.3;
-constexpr double kLoadShareOfBound = 0.75;  // of the bound; the rest is for what goes wrong
+constexpr double kLoadShareOfBound = 0.75;  // of the bound; the rest is a reserve for faults
 constexpr absl::Duration kMinLoadTime = absl::Milliseconds(300);
 constexpr absl::Duration kMaxLoadTime = absl::Seconds(4);
 
-// Loads at once: as many as go at full speed, or the fewest that bring all engines there within their share
-// of the bound.
+// The number of concurrent loads: as many as run at full speed, or more if needed to finish all engines
+// within kLoadShareOfBound of `within`.
 uint32_t loadsAtOnce(size_t engines, absl::Duration within, absl::Duration load_time,
                      const RolloutSettings& settings) {
   const auto time_for = [&](uint32_t loads) {
@@ -28,20 +28,20 @@
   return at_once;
 }
 
-// Engines whose loads must be done by a time, in so many rounds.
+// The number of rounds of loads that must be done by a deadline.
 struct DueRounds {
-  absl::Time done;
+  absl::Time deadline;
   double rounds = 0;
 };
 
-// By rising deadlines: the last engine of each must be done by it.
+// Ordered by deadline; the rounds of a deadline include those of all earlier deadlines.
 std::vector<DueRounds> dueRounds(const std::vector<RolloutEngine>& pending, const ModelName& model,
                                  const WeightsRegister& weights, uint32_t at_once, absl::Duration margin) {
   std::vector<DueRounds> due;
   for (size_t index = 0; index < pending.size(); ++index) {
-    const absl::Time done = weights.deadlineOf(model, pending[index].version) - margin;
-    if (due.empty() || due.back().done != done) {
-      due.push_back({done, 0});
+    const absl::Time deadline = weights.deadlineOf(model, pending[index].version) - margin;
+    if (due.empty() || due.back().deadline != deadline) {
+      due.push_back({deadline, 0});
     }
     const size_t rounds = (index + at_once) / at_once;
     due.back().rounds = static_cast<double>(rounds);
@@ -49,14 +49,14 @@
   return due;
 }
 
-// What each round has for emptying, where the first of them began to be emptied at `began`.
+// The time that each round has for draining if the first round began to drain at `began`.
 absl::Duration drainTimePerRound(const std::vector<DueRounds>& due, absl::Time began,
                                  absl::Duration load_time, absl::Duration longest) {
-  absl::Duration max_drain_time = longest;
+  absl::Duration drain_time = longest;
   for (const DueRounds& loads : due) {
-    max_drain_time = std::min(max_drain_time, (loads.done - began) / loads.rounds - load_time);
+    drain_time = std::min(drain_time, (loads.deadline - began) / loads.rounds - load_time);
   }
-  return max_drain_time;
+  return drain_time;
 }
 
 bool isDrained(const RolloutEngine& engine, const std::vector<DueRounds>& due, absl::Duration load_time,
@@ -98,7 +98,8 @@
   const std::vector<DueRounds> due = dueRounds(pending, model, weights, at_once, settings.margin);
   absl::Time latest_start = absl::InfiniteFuture();
   for (const DueRounds& loads : due) {
-    latest_start = std::min(latest_start, loads.done - (settings.max_drain_time + load_time) * loads.rounds);
+    latest_start =
+        std::min(latest_start, loads.deadline - (settings.max_drain_time + load_time) * loads.rounds);
   }
   latest_start = std::min(latest_start, weights.namedAt(model, newest) + settings.start_delay);
   plan.next_start = latest_start;
--- a/src/forwarding/row_cache.cc
+++ b/src/forwarding/row_cache.cc
@@ -18,7 +18,7 @@
   applyRows(update, changed, effect.rows);
   served_version_ = std::max({served_version_, update.version, last_change_});
   if (effect.is_whole) {
-    forgotten_version_ = served_version_;  // what went before is not known
+    forgotten_version_ = served_version_;  // earlier deletions are unknown
   }
   as_of_ = std::max(as_of_, update.as_of);
   confirmed_ = std::max(confirmed_, update.confirmed);
@@ -45,19 +45,19 @@
   }
 }
 
-// Rows that were there when the reading began and that it has not: they went. Those written since may have
-// come behind the reading's place.
-std::vector<StoreRow> RowCache::missingFrom(const TableUpdate& whole) const {
+// Known rows that are absent from the snapshot and were written before its read began: they were deleted.
+// Rows written later may have been inserted into pages that had already been read.
+std::vector<StoreRow> RowCache::missingFrom(const TableUpdate& snapshot) const {
   absl::flat_hash_set<std::string> read;
-  for (const StoreRow& row : whole.rows) {
+  for (const StoreRow& row : snapshot.rows) {
     read.insert(row.key);
   }
   std::vector<StoreRow> missing;
   for (const auto& [key, cached] : rows_) {
-    if (!read.contains(key) && cached.row.version <= whole.version) {
+    if (!read.contains(key) && cached.row.version <= snapshot.version) {
       StoreRow gone;
       gone.key = key;
-      gone.version = whole.version;
+      gone.version = snapshot.version;
       gone.is_gone = true;
       missing.push_back(std::move(gone));
     }
@@ -86,7 +86,7 @@
   return true;
 }
 
-// A row that is not known may still stand in a reading that is under way.
+// Deletions of unknown rows are recorded, too: a snapshot read in progress may still contain such a row.
 bool RowCache::drop(const StoreRow& gone, uint64_t changed) {
   const auto found = rows_.find(gone.key);
   const bool is_known = found != rows_.end();
--- a/src/forwarding/row_cache.h
+++ b/src/forwarding/row_cache.h
@@ -1,9 +1,9 @@
-// The rows of one table as one node knows them, from the store or from a peer, for other nodes that ask it in
-// the store's place. A node keeps them also while others read: as a reader it then knows what went, and need
-// tell changes alone.
+// A node's copy of one table of the store, received from the store or from a peer, from which it answers the
+// requests of other nodes in the store's place. Followers maintain it as well: a follower that becomes the
+// zone reader then knows which rows were deleted and can answer with deltas.
 //
-// Rows that were written again without a change that matters count as unchanged. A row that went is
-// remembered for a while; who asks for changes since before that gets all rows. Pure.
+// A row that was rewritten without a relevant change counts as unchanged. Deleted rows are remembered for a
+// while; a request for changes since an earlier version gets a snapshot. Performs no I/O.
 #pragma once
 
 #include <absl/container/btree_map.h>
@@ -20,62 +20,62 @@
 
 namespace quincewick::forwarding {
 
-// What a node learns of a table with one answer, whoever gave it.
+// The content of one response about a table, from the store or a peer.
 struct TableUpdate {
   std::vector<StoreRow> rows;
-  bool is_whole = false;  // the rows are all that the table has
-  uint64_t version = 0;   // of the store: all changes up to here are told
-  // When the last whole reading that confirms this began; InfinitePast: this confirms nothing.
+  bool is_whole = false;  // true: a snapshot of the table; false: a delta
+  uint64_t version = 0;   // of the store: all changes up to this version are included
+  // The start of the last snapshot read that confirms these rows; InfinitePast if this confirms nothing.
   absl::Time confirmed = absl::InfinitePast();
-  // When the question was asked whose answer told all changes up to `version`: the rows are as they were
-  // then, or newer. InfinitePast: not known.
+  // When the request was sent whose response included all changes up to `version`: the rows are at least as
+  // recent as this. InfinitePast if unknown.
   absl::Time as_of = absl::InfinitePast();
 };
 
 class RowCache {
  public:
-  // Whether a row that was written again says the same as before.
+  // Whether a rewritten row is equivalent to the known one.
   using IsSame = std::function<bool(const StoreRow& known, const StoreRow& written)>;
 
   explicit RowCache(IsSame is_same) : is_same_(std::move(is_same)) {}
 
-  // Takes an answer; returns what of it is news here: all rows at the first whole reading, then
-  // changes alone. Answers come over two connections, and the pages of a whole reading one after the other:
-  // what is older than what is known of its row is passed over. `update.version` of a whole reading is the
-  // store's before its first page.
+  // Applies a response and returns what it changed here: all rows for the first snapshot, only changes
+  // afterwards. Responses arrive over two connections, and a snapshot is read page by page, so a row older
+  // than the known one is ignored. For a snapshot, `update.version` is the store's version before the first
+  // page.
   TableUpdate take(const TableUpdate& update);
 
-  // Whether there is anything to tell: false until a whole reading was taken.
+  // Whether a snapshot has been applied; before that there is nothing to serve.
   bool hasSnapshot() const { return served_version_ > 0; }
-  // How many answers were taken: each makes the rows known as of a later time.
+  // The number of applied responses: each confirms the rows as of a later time.
   uint64_t readings() const { return readings_; }
-  // All changes up to here are known.
+  // All changes up to this version are known.
   uint64_t version() const { return served_version_; }
   absl::Time confirmed() const { return confirmed_; }
   absl::Time asOf() const { return as_of_; }
-  // The last change that matters: who knows this version lacks nothing.
+  // The version of the last relevant change: a peer that knows this version is up to date.
   uint64_t lastChange() const { return last_change_; }
 
   size_t size() const { return rows_.size(); }
-  // Whether those who ask after that version are told all rows.
+  // Whether a request for changes since `version` has to be answered by a snapshot.
   bool needsSnapshotSince(uint64_t version) const { return version == 0 || version < forgotten_version_; }
-  // What changed after that version; all rows for 0 or where what went is forgotten.
+  // The changes since `version`, or a snapshot if needsSnapshotSince(version).
   TableUpdate updateSince(uint64_t version) const;
 
  private:
   struct CachedRow {
     StoreRow row;
-    uint64_t changed = 0;  // the version at which those who ask learn of it
+    uint64_t changed = 0;  // the served version that includes the change
   };
   struct DeletedRow {
     std::string key;
     uint64_t changed = 0;
-    uint64_t deleted_version = 0;  // the store's version then
+    uint64_t deleted_version = 0;  // the store's version at the deletion
   };
 
   void applyRows(const TableUpdate& update, uint64_t changed, std::vector<StoreRow>& effect);
-  std::vector<StoreRow> missingFrom(const TableUpdate& whole) const;
-  // Return whether anything changed.
+  std::vector<StoreRow> missingFrom(const TableUpdate& snapshot) const;
+  // Both return whether anything changed.
   bool put(const StoreRow& row, uint64_t changed);
   bool drop(const StoreRow& gone, uint64_t changed);
   void forgetOldestDeletedRow();
@@ -83,11 +83,11 @@
   IsSame is_same_;
   absl::btree_map<std::string, CachedRow> rows_;  // by key
   std::deque<DeletedRow> deleted_rows_;
-  absl::flat_hash_map<std::string, uint64_t>
-      deleted_versions_;            // the store's version then, newest for each row
-  uint64_t forgotten_version_ = 0;  // what went up to here is not told any more
-  // What those who ask are told to have. It goes ahead of the store's where a whole reading shows a change
-  // that the changes before it left out.
+  // By key: the store's version at the latest deletion of the row.
+  absl::flat_hash_map<std::string, uint64_t> deleted_versions_;
+  uint64_t forgotten_version_ = 0;  // deletions up to this version are no longer known
+  // The version that is reported to peers. It runs ahead of the store's version if a snapshot contains a
+  // change that the preceding deltas left out.
   uint64_t served_version_ = 0;
   uint64_t last_change_ = 0;
   uint64_t readings_ = 0;
--- a/src/forwarding/server_directory.cc
+++ b/src/forwarding/server_directory.cc
@@ -15,10 +15,10 @@
 constexpr absl::Duration kLongestEjection = absl::Seconds(3);
 constexpr absl::Duration kReplacedEjection = absl::Seconds(30);
 constexpr uint32_t kLargestBackoffStep = 4;
-// Until peers' digests tell of what came since.
+// Afterwards the digests of peers cover what has changed since the owner's report.
 constexpr absl::Duration kOwnerLoadValidity = absl::Milliseconds(400);
 constexpr double kLatencySmoothing = 0.2;
-// Twice the servers of the largest fleet that is planned for: those there now, and as many that went.
+// Twice the servers of the largest supported fleet: the current ones and as many that were removed.
 constexpr size_t kMaxRememberedStarts = 24'000;
 
 uint64_t hashOfId(const std::string& id) {
@@ -92,9 +92,11 @@
   }
   const std::vector<LoadedModel> listed = std::exchange(entry.models, server.entry.models);
   const bool was_draining = server.entry.is_draining;
-  entry.started = server.entry.started;  // an entry without a start is of the life that is known
+  // An entry without a start time belongs to the known incarnation.
+  entry.started = server.entry.started;
   server.entry = std::move(entry);
-  server.entry.is_draining = server.entry.is_draining || was_draining;  // a draining life never comes back
+  // An incarnation that drains never serves again.
+  server.entry.is_draining = server.entry.is_draining || was_draining;
   server.is_readable = true;
   for (const LoadedModel& model : listed) {
     noteVersion(server, model.model, model.weights_version);
@@ -131,7 +133,7 @@
   servers_.emplace(server->entry.id, server);
 }
 
-// What tells no start tells of no earlier life.
+// An entry without a start time is never outdated.
 bool ServerDirectory::isOutdated(const ServerEntry& entry) const {
   const auto last = last_starts_.find(entry.id);
   return last != last_starts_.end() && entry.started != absl::InfinitePast() && entry.started < last->second;
@@ -293,7 +295,7 @@
   last = std::move(others);
 }
 
-// Only what was added is taken away again: a server that came between has none of the last account.
+// Subtracts only what was added before: a server that was added since has no load from the last report.
 void ServerDirectory::addLoad(const std::vector<PeerLoad>& loads, bool add, ServerLoad Server::*sum) {
   for (const PeerLoad& load : loads) {
     const ServerPointer server = findByHash(load.server);
--- a/src/forwarding/server_directory.h
+++ b/src/forwarding/server_directory.h
@@ -1,9 +1,10 @@
-// What this node knows of the servers: as listed, as their answers and failures correct it, and how much work
-// this node and its peers have under way at each.
+// What this node knows of the servers: their entries in the store's list, corrected by their responses and
+// failures, and the load that this node and its peers have in progress at each.
 //
-// A server's life is named by its id and its start, where it tells one: what was learnt of an earlier life is
-// never used for a later one, and an earlier one never comes back. Slots are small numbers for the cache
-// index; one is used again after its server went. Pure; `now` never goes back.
+// A server's incarnation is identified by its id and its start time, if it reports one. State of an earlier
+// incarnation is never used for a later one, and an earlier incarnation never replaces a later one. Slots are
+// small numbers for the cache index; a slot is reused after its server was removed. Performs no I/O; `now`
+// never decreases.
 #pragma once
 
 #include <absl/container/btree_map.h>
@@ -26,35 +27,39 @@
 
 using prefix::EngineSlot;
 
-// Work under way at a server.
+// Work in progress at a server.
 struct ServerLoad {
-  uint32_t running = 0;         // requests sent and not ended
-  uint64_t prefill_tokens = 0;  // of their prompts, still to be read
+  uint32_t running = 0;         // requests sent and not finished
+  uint64_t prefill_tokens = 0;  // prompt tokens of these requests that are still to be processed
 };
 
 struct Server {
   ServerEntry entry;
   EngineSlot slot{};
-  uint64_t identity_hash = 0;  // of this life, in all that nodes tell each other
-  uint64_t home_hash = 0;      // of the id alone: a server that starts again is the home of the same chains
-  bool is_listed = true;       // false: this life is over, only work under way keeps it here
-  bool is_readable = true;     // false: its entry is there and can't be read, perhaps it tells of its leaving
+  uint64_t identity_hash = 0;  // identifies this incarnation in messages between nodes
+  // Of the id alone: after a restart the server remains the home of the same prefix chains.
+  uint64_t home_hash = 0;
+  // False after the incarnation was removed; requests in progress still refer to it.
+  bool is_listed = true;
+  // False while its entry exists but cannot be parsed: it may announce that the server leaves.
+  bool is_readable = true;
   ServerLoad own;
-  ServerLoad peers;        // of this node's zone, or all on a small site
-  ServerLoad other_zones;  // of other zones
-  // A penalty that halves with time: grows with each failure.
+  ServerLoad peers;  // of this node's zone, or of all peers on a small site
+  ServerLoad other_zones;
+  // Grows with each failure and decays exponentially.
   double failure_score = 0;
   absl::Time failure_scored_at = absl::InfinitePast();
   absl::Time ejected_until = absl::InfinitePast();
-  uint32_t connect_failures = 0;                    // in a row
-  absl::Time loading_until = absl::InfinitePast();  // it is to take new weights: nothing new is sent there
-  double latency_seconds = 0;                       // of plain requests, smoothed; 0: not known
+  uint32_t connect_failures = 0;  // consecutive
+  // Until then the server is reserved for loading weights and receives no new requests.
+  absl::Time loading_until = absl::InfinitePast();
+  double latency_seconds = 0;  // of plain requests, smoothed; 0 if unknown
 
-  ToldCapability capability;  // by the keeper of its books
-  // Of this life, also while its entry comes and goes.
+  ToldCapability capability;  // reported by the owner of its occupancy
+  // Of this incarnation; retained while its entry is removed and added again.
   std::shared_ptr<BackPressure> back_pressure = std::make_shared<BackPressure>();
 
-  // What its books told is in hand there, and how much of it was this node's then.
+  // The load reported by the owner of its occupancy, and this node's own load at that time.
   struct OwnerLoad {
     ServerLoad total;
     ServerLoad own;
@@ -62,7 +67,7 @@
   };
   OwnerLoad owner_load;
 
-  // What is in hand: as the books told a moment ago, else as peers told.
+  // The total load: from a recent report of the occupancy's owner, otherwise from the reports of peers.
   ServerLoad load(absl::Time now) const;
   void noteOwnerLoad(const ServerLoad& total, absl::Time now) { owner_load = {total, own, now}; }
   uint32_t running() const { return own.running + peers.running + other_zones.running; }
@@ -70,30 +75,31 @@
     return own.prefill_tokens + peers.prefill_tokens + other_zones.prefill_tokens;
   }
   double failureScore(absl::Time now) const;
-  // The version of the model's weights that it has, as far as known.
+  // The version of the model's weights that the server has, or nullopt if unknown.
   std::optional<WeightsVersion> versionOf(const ModelName& model) const;
-  // It leaves or has left: nothing new may reach it.
+  // Whether the server is leaving or has left, so that no new request may reach it.
   bool isLeaving() const;
-  // Whether a request that was chosen for it may still be sent there.
+  // Whether a request that was assigned to this server may still be sent to it.
   bool mayReceive(absl::Time now) const;
+  // Whether new requests may be assigned to this server.
   bool isEligible(absl::Time now) const;
 };
 
-// What an entry of the list did to the directory.
+// The effect of a list entry on the directory.
 enum class EntryEffect : uint8_t {
-  kNew,        // of an id that was not there
-  kRestarted,  // the server had started again: a new life in the old one's place
-  kKnown,      // of the life that is known
-  kOutdated,   // of an earlier life: passed over
+  kNew,        // added a server with a new id
+  kRestarted,  // replaced the known incarnation by a later one
+  kKnown,      // updated the known incarnation
+  kOutdated,   // ignored: of an earlier incarnation
 };
 
-// A peer's account of its own work at a server.
+// A peer's report of its own load at a server.
 struct PeerLoad {
   uint64_t server = 0;  // its identity hash
   ServerLoad load;
 };
 
-// Of the servers, those whose hash leaves `part` when divided by `parts`.
+// The subset of servers whose identity hash modulo `parts` equals `part`.
 struct LoadShare {
   uint32_t part = 0;
   uint32_t parts = 1;
@@ -106,41 +112,41 @@
   using ServerPointer = std::shared_ptr<Server>;
 
   EntryEffect upsert(ServerEntry entry);
-  // The server itself told of a later start than the list: a new life, which holds these models and is else
-  // as the list had it.
+  // The server itself reported a later start time than the list has: adds a new incarnation with these models
+  // and otherwise the properties of the earlier entry.
   void noteRestart(const Server& earlier, absl::Time started, std::vector<LoadedModel> models);
-  // The entry can't be read, or can be again. Unknown ids are passed over.
+  // Records whether the entry can be parsed. Unknown ids are ignored.
   void setReadable(const std::string& id, bool is_readable);
-  // The entry is gone: nothing new is sent there.
+  // The entry was deleted: the server receives no new requests.
   void remove(const std::string& id);
-  // Ids of all that are not in the list, as after a whole reading of it.
+  // Ids of the known servers that are not in `ids`, the ids of a snapshot of the list.
   std::vector<std::string> missingFrom(const std::vector<std::string>& ids) const;
 
   ServerPointer find(const std::string& id) const;
   const std::vector<ServerPointer>& ofService(const ServiceName& service) const;
   const absl::btree_map<std::string, ServerPointer>& all() const { return servers_; }
-  // By its identity hash; null: there is none.
+  // Returns null if no server has this identity hash.
   ServerPointer findByHash(uint64_t identity_hash) const;
-  // Of a slot in use; null: it is free.
+  // Returns null if the slot is free.
   ServerPointer bySlot(EngineSlot slot) const;
 
-  // The version of a model that the server told itself; versions of one start only rise. Returns whether it
-  // is news.
+  // Records the version of a model that the server itself reported; within one incarnation versions only
+  // rise. Returns whether the version is new.
   static bool noteVersion(Server& server, const ModelName& model, WeightsVersion version);
   static void noteConnectFailure(Server& server, absl::Time now);
   static void noteFailure(Server& server, double weight, absl::Time now);
   static void noteSuccess(Server& server, absl::Duration latency);
-  // The address belongs to another start of a server now.
+  // The address now belongs to another incarnation.
   static void noteAddressReassigned(Server& server, absl::Time now);
 
-  // Takes one peer's account of a share of the servers in place of its last one.
+  // Replaces the last report of a peer for a share of the servers.
   void setPeerLoad(const NodeId& peer, const LoadShare& share, const std::vector<PeerLoad>& loads);
   void forgetPeerLoad(const NodeId& peer);
-  // Takes another zone's account in the same way.
+  // The same for the report of another zone.
   void setZoneLoad(const ZoneName& zone, const LoadShare& share, const std::vector<PeerLoad>& loads);
   void forgetZoneLoad(const ZoneName& zone);
 
-  // Slots whose servers went since the last call: what is believed of them is void.
+  // Returns the slots freed since the last call: what is recorded for them is invalid.
   std::vector<EngineSlot> takeFreedSlots();
 
  private:
@@ -155,11 +161,12 @@
   void addLoad(const std::vector<PeerLoad>& loads, bool add, ServerLoad Server::*sum);
 
   absl::btree_map<std::string, ServerPointer> servers_;
-  // The latest start of each id, also of those that went; of so many ids at most, the first ones given up.
+  // The latest start time of each id, also of removed servers. Holds at most kMaxRememberedStarts; the oldest
+  // entries are evicted first.
   absl::flat_hash_map<std::string, absl::Time> last_starts_;
   std::deque<std::string> last_starts_order_;
-  // What servers that went had asked, by their identity hashes: an entry may lapse and come back with the
-  // store. Of so many at most, the first ones given up.
+  // Back pressure of removed servers by identity hash, since an entry may lapse during a store outage and
+  // reappear. Bounded and evicted in the same way.
   absl::flat_hash_map<uint64_t, std::shared_ptr<BackPressure>> retained_back_pressure_;
   std::deque<uint64_t> retained_back_pressure_order_;
   absl::flat_hash_map<ServiceName, std::vector<ServerPointer>> by_service_;
--- a/src/forwarding/server_entry.h
+++ b/src/forwarding/server_entry.h
@@ -1,4 +1,5 @@
-// A server as the store lists it.
+// Servers as the store lists them, and the operator's and engines' rows and reports about weights and
+// rollouts.
 #pragma once
 
 #include <absl/time/time.h>
@@ -14,8 +15,8 @@
 
 struct ServerEntry {
   std::string id;
-  // When it started, by its own time of day; InfinitePast: it doesn't tell. Id and start name one life of a
-  // server: a server that starts again under its id holds and knows nothing of before.
+  // The start time by the server's own wall clock; InfinitePast if it reports none. Id and start time
+  // identify one incarnation: a server that restarts under its id retains no state.
   absl::Time started = absl::InfinitePast();
   ServiceName service;
   Address address;
@@ -34,14 +35,14 @@
   WeightsVersion version;
 };
 
-// What the operator asks for: the service's traffic is to move to servers of that software.
+// The operator's request to move the service's traffic to servers with the target software.
 struct RolloutRequest {
   ServiceName service;
   SoftwareVersion target;
   absl::Duration time_allowed;
 };
 
-// What the operator is told of it.
+// The status of a rollout that is reported to the operator.
 enum class RolloutState : uint8_t { kRunning, kCompleted, kRolledBack };
 struct RolloutStatus {
   ServiceName service;
@@ -52,8 +53,8 @@
 // An engine's own report.
 struct EngineReport {
   absl::Time started = absl::InfinitePast();  // as in ServerEntry
-  bool is_busy = false;                       // an order is under way
-  uint64_t orders_taken = 0;                  // since its start
+  bool is_busy = false;                       // a weight-loading order is in progress
+  uint64_t orders_taken = 0;                  // accepted since its start
   std::vector<LoadedModel> models;
 };
 
--- a/src/forwarding/site_configuration.cc
+++ b/src/forwarding/site_configuration.cc
@@ -51,7 +51,7 @@
   rankUrgencies();
 }
 
-// A tenant's urgency goes before a route's, so it may come at any service.
+// A tenant's urgency overrides that of a route, so it may occur at any service.
 void SiteConfiguration::rankUrgencies() {
   std::vector<uint32_t> of_tenants;
   for (const Tenant& tenant : tenants_) {
--- a/src/forwarding/site_configuration.h
+++ b/src/forwarding/site_configuration.h
@@ -1,4 +1,4 @@
-// What the operator configures for forwarded traffic: routes, services, limits, tenants and their keys.
+// The operator's configuration for forwarded traffic: routes, services, limits, tenants and their keys.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -17,13 +17,13 @@
 
 namespace quincewick::forwarding {
 
-using ServiceName = StrongString<struct ServiceNameTag>;  // a pool of servers that serve alike
+using ServiceName = StrongString<struct ServiceNameTag>;  // names a pool of interchangeable servers
 
-// What may be done with a request that failed.
+// Whether a failed request may be retried.
 enum class RepeatKind : uint8_t {
-  kRepeatable,  // may run any number of times
+  kRepeatable,  // idempotent: may run any number of times
   kOnce,        // runs at most once
-  kStream,      // an answer of events; at most once unless the route lets it be resumed
+  kStream,      // has an event stream as response; runs at most once unless the route allows resumption
 };
 
 struct ServiceShare {
@@ -38,15 +38,15 @@
   RepeatKind kind = RepeatKind::kOnce;
   std::optional<absl::Duration> timeout;
   std::optional<absl::Duration> target_latency;
-  std::optional<absl::Duration> allowed_pause;  // between a stream's pieces, for it to be in time
-  uint32_t urgency = 5;                         // 0 first
+  std::optional<absl::Duration> allowed_pause;  // between the events of a stream, for it to count as on time
+  uint32_t urgency = 5;                         // 0 is the most urgent
   std::vector<ServiceShare> shares;
   uint32_t max_attempts = 1;
   bool is_public = false;     // served without a key
   bool has_prompt = false;    // requests declare the parts of their prompt
-  bool is_resumable = false;  // a stream may go on elsewhere after an event's id
+  bool is_resumable = false;  // another server may resume a stream after a given event id
 
-  // Whether a request that may have run may be sent again.
+  // Whether a request that may have been executed may be sent again.
   bool mayRunAgain() const {
     return kind == RepeatKind::kRepeatable || (kind == RepeatKind::kStream && is_resumable);
   }
@@ -54,11 +54,11 @@
 
 struct EngineTraits {
   uint32_t slots = 1;
-  uint64_t cache_tokens = 0;  // that fit into one engine's memory
+  uint64_t cache_tokens = 0;  // cache capacity of one engine
   std::vector<ModelName> models;
 };
 
-// A store of kept cache: named as a source and a target of memory, never sent requests.
+// A store for cached prefixes: a source and target of cache transfers that never receives requests.
 struct CacheStoreTraits {
   Address address;
   ZoneName zone;
@@ -66,7 +66,7 @@
 
 struct Service {
   ServiceName name;
-  uint32_t max_connections = 100;  // of one server, from all callers together
+  uint32_t max_connections = 100;  // to one server, for all callers together
   std::optional<EngineTraits> engine;
   std::optional<CacheStoreTraits> cache_store;
 };
@@ -81,9 +81,9 @@
 struct Tenant {
   TenantId id;
   std::vector<std::string> keys;
-  std::optional<uint32_t> urgency;        // goes before a route's
-  bool is_isolated = false;               // shares no cached memory with other tenants
-  std::optional<quota::RateLimit> limit;  // over all gateways; nothing: none
+  std::optional<uint32_t> urgency;        // overrides that of the route
+  bool is_isolated = false;               // shares no cached prefixes with other tenants
+  std::optional<quota::RateLimit> limit;  // over all gateways; nullopt: unlimited
 };
 
 // One version of the configuration. Immutable once built.
@@ -100,17 +100,17 @@
   const std::vector<Route>& routes() const { return routes_; }
   const std::vector<Service>& services() const { return services_; }
 
-  // The route of that host whose prefix is the longest that begins the path; null: none. `host` may have a
-  // port, `target` a query.
+  // The route of the host with the longest matching path prefix, or null. `host` may include a port, `target`
+  // a query.
   const Route* findRoute(std::string_view host, std::string_view target) const;
-  // The tenant that holds the key; null: none does.
+  // The tenant that has the key, or null.
   const Tenant* findTenant(const std::string& key) const;
-  // The tenant of that name; null: there is none.
+  // The tenant with that id, or null.
   const Tenant* findTenantNamed(const TenantId& id) const;
   const Service* findService(const ServiceName& name) const;
-  // At which levels requests of the service wait, by the urgencies of its routes and of all tenants.
+  // The queue levels of the service, by the urgencies of its routes and of all tenants.
   const scheduling::UrgencyLevels& levelsOf(const ServiceName& service) const;
-  // The site's stores of kept cache, by address.
+  // The cache stores of the site, which are identified by their addresses.
   const std::vector<CacheStoreTraits>& cacheStores() const { return cache_stores_; }
 
  private:
--- a/src/forwarding/store_history.cc
+++ b/src/forwarding/store_history.cc
@@ -3,7 +3,7 @@
 namespace quincewick::forwarding {
 
 StoreContinuity StoreHistory::note(const StoreObservation& sign) {
-  const bool may_be_earlier = sign.began < continuous_since_;  // than the moment at which the store went back
+  const bool may_be_earlier = sign.began < continuous_since_;  // than the reversion of the store
   if (sign.era && sign.era != era_) {
     const bool is_first = !era_;
     if (!is_first && may_be_earlier && *sign.era < *era_) {
--- a/src/forwarding/turn_schedule.h
+++ b/src/forwarding/turn_schedule.h
@@ -1,5 +1,5 @@
-// Turns of gateways that may do the same thing, in an order that all know: the first few follow each other
-// quickly, the others slowly. Pure.
+// Staggered turns of gateways that may all do the same thing, in an order that all know: the first few follow
+// each other quickly, the others slowly. Performs no I/O.
 #pragma once
 
 #include <absl/time/time.h>
@@ -10,11 +10,11 @@
 namespace quincewick::forwarding {
 
 struct TurnSchedule {
-  absl::Duration quick;     // between the first turns
-  int64_t quick_turns = 0;  // so many
-  absl::Duration slow;      // between all further ones
+  absl::Duration quick;  // between the first quick_turns turns
+  int64_t quick_turns = 0;
+  absl::Duration slow;  // between all further turns
 
-  // How long a gateway waits for its turn, with so many before it.
+  // How long a gateway waits for its turn.
   absl::Duration after(int64_t turns_before) const {
     const int64_t first = std::min(turns_before, quick_turns);
     return quick * first + slow * (turns_before - first);
--- a/src/forwarding/weights_register.cc
+++ b/src/forwarding/weights_register.cc
@@ -6,12 +6,13 @@
 namespace quincewick::forwarding {
 namespace {
 
-// A version is learnt of some time after it was named.
+// Gateways learn of a version some time after it was named.
 constexpr absl::Duration kPropagationMargin = absl::Milliseconds(600);
 // A request may wait at a full engine before it begins.
 constexpr absl::Duration kQueueMargin = absl::Milliseconds(400);
 constexpr absl::Duration kPreferenceMargin = absl::Milliseconds(1200);
-// After a version was named, work on older ones is worth less; less the way to an engine.
+// Work on older versions is worth less from some time after a version was named; this is that time minus the
+// time that a request takes to reach an engine.
 constexpr absl::Duration kFullValueTime = absl::Milliseconds(1300);
 constexpr size_t kMaxVersions = 16;
 
@@ -50,7 +51,7 @@
   return namedBefore(model, now - kFullValueTime);
 }
 
-// The newest version that was named at that time or before.
+// The newest version that was named at or before `time`.
 WeightsVersion WeightsRegister::namedBefore(const ModelName& model, absl::Time time) const {
   WeightsVersion newest;
   const auto found = versions_.find(model);
@@ -79,9 +80,9 @@
 absl::Time WeightsRegister::deadlineOf(const ModelName& model, WeightsVersion version) const {
   const auto found = versions_.find(model);
   if (found != versions_.end()) {
-    for (const auto& [named, learnt] : found->second) {
-      if (named > version) {
-        return learnt + in_force_ - kPropagationMargin;
+    for (const auto& [known, named] : found->second) {
+      if (known > version) {
+        return named + in_force_ - kPropagationMargin;
       }
     }
   }
--- a/src/gateway/server_list.cc
+++ b/src/gateway/server_list.cc
@@ -16,7 +16,7 @@
   const absl::Duration list_was_old = now - core_.servers_as_of;
   if (news.as_of > core_.servers_as_of) {
     core_.servers_as_of = news.as_of;
-    lapsed_.noteReading(now);
+    lapsed_.noteListRead(now);
   }
   std::vector<std::string> ids;
   for (const StoreRow& row : news.rows) {
--- a/tests/forwarding/configuration_in_force_test.cc
+++ b/tests/forwarding/configuration_in_force_test.cc
@@ -1,11 +1,8 @@
-// The incident: a gateway answered 404 to a request whose route had been acknowledged 3.07 s before; 3 s are
-// allowed.
-//
-// Seen: at one gateway that was well itself, before a store that answered it. How it comes about: the peers
-// that read the store for its zone fail one after the other; each is noticed after 1.5 s and more, and the
-// next one takes over without knowing what the zone has lost already. Cause: the age of the configuration
-// was known to each gateway, and neither bounded by what the site promises nor asked before a decision.
-// Proof: the scenarios here, in which gateways go by configurations that are older than the bound.
+// Guards against a healthy gateway that uses an outdated configuration although the store responds to it: one
+// returned 404 for a route that had been acknowledged 3.07 s before, where 3 s are allowed. The zone readers
+// fail one after the other; each failure is detected after 1.5 s or more, and the next reader takes over
+// without knowing how much of the bound is used up. Each gateway therefore has to bound the age of its
+// configuration itself.
 #include <rapidcheck.h>
 #include <catch2/catch.hpp>
 
@@ -19,70 +16,70 @@
 constexpr size_t kGateways = 8;
 constexpr absl::Duration kConfigurationBound = absl::Seconds(3);
 
-Zone calmZone(absl::Duration bound = kConfigurationBound) {
+Zone settledZone(absl::Duration bound = kConfigurationBound) {
   Zone zone({"a", "b", "c", "d", "e", "f", "g", "h"}, bound);
-  zone.run(absl::Milliseconds(kCalmMs) + drawn(0, 3000));
+  zone.run(absl::Milliseconds(kSettleMs) + randomDuration(0, 3000));
   zone.oldest_configuration = absl::ZeroDuration();
   return zone;
 }
 
-absl::Duration drawnBound() {
+absl::Duration randomBound() {
   return absl::Seconds(*rc::gen::element(2, 3, 5));
 }
 
-// In the order in which they take over.
-std::vector<size_t> firstInLine(size_t most) {
+// Indexes of the first gateways in the order in which they take over as reader.
+std::vector<size_t> firstCandidates(size_t most) {
   std::vector<size_t> result(*rc::gen::inRange<size_t>(1, most + 1));
   std::iota(result.begin(), result.end(), 0);
   return result;
 }
 
-TEST_CASE("a configuration is in force in time though the store turns the next readers away, too") {
+TEST_CASE("a configuration is in force in time though the store refuses the next readers, too") {
   CHECK(rc::check([] {
-    Zone zone = calmZone();
-    for (const size_t index : firstInLine(kGateways / 2)) {
-      zone.turnAway(zone.gateways[index]);
+    Zone zone = settledZone();
+    for (const size_t index : firstCandidates(kGateways / 2)) {
+      zone.refuse(zone.gateways[index]);
     }
     zone.run(absl::Seconds(6));
     RC_ASSERT(zone.oldest_configuration <= kConfigurationBound);
   }));
 }
 
-TEST_CASE("a configuration is in force in time though readers stand still one after the other") {
+TEST_CASE("a configuration is in force in time though readers freeze one after the other") {
   CHECK(rc::check([] {
-    Zone zone = calmZone();
-    for (const size_t index : firstInLine(kGateways / 2)) {
+    Zone zone = settledZone();
+    for (const size_t index : firstCandidates(kGateways / 2)) {
       zone.freeze(zone.gateways[index]);
-      zone.run(drawn(0, 2500));
+      zone.run(randomDuration(0, 2500));
     }
     zone.run(absl::Seconds(6));
     RC_ASSERT(zone.oldest_configuration <= kConfigurationBound);
   }));
 }
 
-TEST_CASE("a configuration is in force in time after the store was away for all") {
+TEST_CASE("a configuration is in force in time after a store outage for all gateways") {
   CHECK(rc::check([] {
-    const absl::Duration bound = drawnBound();
-    Zone zone = calmZone(bound);
+    const absl::Duration bound = randomBound();
+    Zone zone = settledZone(bound);
     zone.setStoreAnswers(false);
-    zone.run(drawn(1000, 12000));
+    zone.run(randomDuration(1000, 12000));
     zone.setStoreAnswers(true);
     zone.run(absl::Seconds(6));
     RC_ASSERT(zone.oldest_configuration <= bound);
   }));
 }
 
-TEST_CASE("a configuration is in force in time under other bounds, while readers fail in any way") {
+TEST_CASE("a configuration is in force in time with other bounds and mixed reader failures") {
   CHECK(rc::check([] {
-    const absl::Duration bound = drawnBound();
-    Zone zone = calmZone(bound);
-    for (const size_t index : firstInLine(kGateways / 2)) {
+    const absl::Duration bound = randomBound();
+    Zone zone = settledZone(bound);
+    for (const size_t index : firstCandidates(kGateways / 2)) {
       if (*rc::gen::arbitrary<bool>()) {
         zone.freeze(zone.gateways[index]);
       } else {
-        zone.turnAway(zone.gateways[index]);
+        zone.refuse(zone.gateways[index]);
       }
-      zone.run(drawn(0, 2500));
+      zone.run(randomDuration(0, 2500));
     }
     zone.run(absl::Seconds(6));
     RC_ASSERT(zone.oldest_configuration <= bound);
--- a/tests/forwarding/confirmation_schedule_test.cc
+++ b/tests/forwarding/confirmation_schedule_test.cc
@@ -9,13 +9,13 @@
 constexpr absl::Duration kInstant = absl::Milliseconds(1);
 const absl::Time kConfirmed = absl::UnixEpoch();
 
-TEST_CASE("a fresh configuration needs no question") {
+TEST_CASE("a recently confirmed configuration needs no request") {
   const ConfirmationSchedule schedule;
   CHECK_FALSE(schedule.isDue(
       kBound, kConfirmed, [] { return true; }, kConfirmed + absl::Seconds(2) - kInstant));
 }
 
-TEST_CASE("the store is asked while there is time for an answer, whoever is heard") {
+TEST_CASE("the store is asked while there is time for a response, whether or not a reader is known") {
   const ConfirmationSchedule schedule;
   const absl::Time due = kConfirmed + absl::Seconds(2);
   CHECK(schedule.isDue(
@@ -25,7 +25,7 @@
   CHECK(due + ConfirmationSchedule::confirmationTimeout(kBound) <= kConfirmed + kBound);
 }
 
-TEST_CASE("after a question without an answer the store is asked soon only if it answers somebody") {
+TEST_CASE("after a request without a response the store is asked again soon only if it responds to others") {
   ConfirmationSchedule schedule;
   const absl::Time asked = kConfirmed + absl::Seconds(2);
   schedule.noteRequested(asked);
@@ -42,7 +42,7 @@
       kBound, kConfirmed, [] { return false; }, asked + kBound));
 }
 
-TEST_CASE("what another confirmed meanwhile needs no question") {
+TEST_CASE("a confirmation received from another gateway needs no request") {
   ConfirmationSchedule schedule;
   schedule.noteRequested(kConfirmed + absl::Seconds(2));
   const absl::Time newer = kConfirmed + absl::Seconds(4);
--- a/tests/forwarding/order_lease_site_test.cc
+++ b/tests/forwarding/order_lease_site_test.cc
@@ -1,5 +1,5 @@
-// Several gateways, one row and its store, on virtual time: pauses, lost answers and late writes in any
-// order; and a store that is restored from an older copy.
+// Simulation of several gateways that compete for one lease row, on virtual time: pauses, lost responses and
+// late writes in any order, and a store that is restored from an older copy.
 #include <rapidcheck.h>
 #include <catch2/catch.hpp>
 
@@ -31,8 +31,8 @@
   uint64_t version() const { return version_; }
   uint64_t era() const { return era_; }
 
-  void keepCopy() { copies_.emplace_back(record_, version_); }
-  // What was written since that copy is lost, and versions are given out again.
+  void saveCopy() { copies_.emplace_back(record_, version_); }
+  // Writes since that copy are lost, and their versions are assigned again.
   void restore(size_t copy) {
     std::tie(record_, version_) = copies_[copy % copies_.size()];
     ++era_;
@@ -46,38 +46,38 @@
 };
 
 struct Order {
-  size_t holder = 0;  // a gateway, whichever of its lives
+  size_t holder = 0;  // a gateway, in any of its incarnations
   Epoch fence;
   absl::Time at;
 };
 
 class Site {
  public:
-  // `tells_era`: whether the store's answers do.
-  Site(size_t gateways, bool tells_era) : tells_era_(tells_era), lives_(gateways) {
+  // `reports_era`: whether the store's responses include its era.
+  Site(size_t gateways, bool reports_era) : reports_era_(reports_era), processes_(gateways) {
     for (size_t index = 0; index < gateways; ++index) {
       start(index);
     }
   }
 
-  // Its process begins anew and remembers nothing.
-  void start(size_t gateway) { lives_[gateway] = std::make_unique<Life>(gateway); }
+  // Starts or restarts its process without any state.
+  void start(size_t gateway) { processes_[gateway] = std::make_unique<GatewayProcess>(gateway); }
 
   void pass(absl::Duration time) {
     now_ += time;
-    while (!late_.empty() && late_.begin()->first <= now_) {
-      store_.write(late_.begin()->second);  // done now, if its condition still holds
-      late_.erase(late_.begin());
+    while (!late_writes_.empty() && late_writes_.begin()->first <= now_) {
+      store_.write(late_writes_.begin()->second);  // applied now, if its condition still holds
+      late_writes_.erase(late_writes_.begin());
     }
   }
 
-  // A gateway reads the row and, if it may, writes it. `delay`: of each answer.
-  void pursue(size_t gateway, absl::Duration delay, int fate) {
+  // A gateway reads the row and, if allowed, writes it. `delay`: of each response.
+  void tryAcquire(size_t gateway, absl::Duration delay, int fate) {
     const absl::Time began = now_;
     const auto record = store_.record();
     const uint64_t version = store_.version();
     const absl::Duration clock = storeClock();
-    const std::optional<uint64_t> era = told();
+    const std::optional<uint64_t> era = reportedEra();
     pass(delay);
     if (!note(gateway, version, era, began)) {
       return;
@@ -94,15 +94,15 @@
     }
   }
 
-  // Every gateway gives an order that may.
+  // Every gateway that may send an order does so.
   void orderAll() {
-    for (size_t gateway = 0; gateway < lives_.size(); ++gateway) {
+    for (size_t gateway = 0; gateway < processes_.size(); ++gateway) {
       order(gateway);
     }
   }
   bool holds(size_t gateway) { return leaseOf(gateway).holds(now_); }
-  // After how long writes that are done late are done.
-  void setLateness(absl::Duration lateness) { lateness_ = lateness; }
+  // The delay of late writes.
+  void setLateWriteDelay(absl::Duration delay) { late_write_delay_ = delay; }
 
   void order(size_t gateway) {
     if (leaseOf(gateway).mayOrder(now_)) {
@@ -110,41 +110,45 @@
     }
   }
 
-  // The store comes back from a copy, perhaps with a clock that begins anew.
-  void restore(size_t copy, bool is_clock_new) {
+  // Restores the store from a copy, optionally with a clock that restarts at zero.
+  void restore(size_t copy, bool resets_clock) {
     store_.restore(copy);
-    clock_began_ = is_clock_new ? now_ : clock_began_;
+    clock_start_ = resets_clock ? now_ : clock_start_;
   }
 
   const std::vector<Order>& orders() const { return orders_; }
   Store& store() { return store_; }
 
  private:
-  // Of one gateway's process.
-  struct Life {
-    explicit Life(size_t gateway) : lease(NodeId("g" + std::to_string(gateway)), kLength, history) {}
+  // The process of one gateway.
+  struct GatewayProcess {
+    explicit GatewayProcess(size_t gateway)
+        : lease(NodeId("g" + std::to_string(gateway)), kLength, history) {}
     StoreHistory history;
     OrderLease lease;
   };
 
-  OrderLease& leaseOf(size_t gateway) { return lives_[gateway]->lease; }
-  absl::Duration storeClock() const { return now_ - clock_began_; }
-  std::optional<uint64_t> told() const { return tells_era_ ? std::optional(store_.era()) : std::nullopt; }
-  // Returns whether the answer counts.
+  OrderLease& leaseOf(size_t gateway) { return processes_[gateway]->lease; }
+  absl::Duration storeClock() const { return now_ - clock_start_; }
+  std::optional<uint64_t> reportedEra() const {
+    return reports_era_ ? std::optional(store_.era()) : std::nullopt;
+  }
+  // Returns whether the response is current.
   bool note(size_t gateway, uint64_t version, std::optional<uint64_t> era, absl::Time began) {
-    return lives_[gateway]->history.note({version, era, began, now_}) != StoreContinuity::kOutdated;
+    return processes_[gateway]->history.note({version, era, began, now_}) != StoreContinuity::kOutdated;
   }
 
-  // fate 0: done and answered; 1: done, the answer lost; 2: done late, not answered; 3: never done.
+  // fate 0: applied, with a response; 1: applied, the response is lost; 2: applied late, no response; 3:
+  // never applied.
   void finishWrite(size_t gateway, const LeaseWrite& write, absl::Duration delay, int fate) {
     const absl::Time began = now_;
     if (fate == 2) {
-      late_.emplace(now_ + lateness_, write);
+      late_writes_.emplace(now_ + late_write_delay_, write);
     }
     const bool done = fate <= 1 && store_.write(write);
     const absl::Duration clock = storeClock();
     const uint64_t version = store_.version();
-    const std::optional<uint64_t> era = told();
+    const std::optional<uint64_t> era = reportedEra();
     pass(delay);
     const bool counts = fate == 0 && note(gateway, version, era, began);
     if (done && counts) {
@@ -154,24 +158,24 @@
     }
   }
 
-  bool tells_era_;
-  std::vector<std::unique_ptr<Life>> lives_;
+  bool reports_era_;
+  std::vector<std::unique_ptr<GatewayProcess>> processes_;
   Store store_;
-  std::multimap<absl::Time, LeaseWrite> late_;  // by when they are done
-  absl::Duration lateness_ = absl::Seconds(2);
+  std::multimap<absl::Time, LeaseWrite> late_writes_;  // by the time when they are applied
+  absl::Duration late_write_delay_ = absl::Seconds(2);
   absl::Time now_ = absl::UnixEpoch() + absl::Hours(1);
-  absl::Time clock_began_ = absl::UnixEpoch() - absl::Hours(7);
+  absl::Time clock_start_ = absl::UnixEpoch() - absl::Hours(7);
   std::vector<Order> orders_;
 };
 
-// One drawn step of a site.
+// Performs one random step of a site.
 void drawStep(Site& site, size_t gateways) {
   const size_t gateway = *rc::gen::inRange<size_t>(0, gateways);
   const absl::Duration delay = absl::Milliseconds(*rc::gen::inRange(0, 600));
   const int fate = *rc::gen::weightedElement<int>({{6, 0}, {1, 1}, {1, 2}, {1, 3}});
   switch (*rc::gen::inRange(0, 4)) {
     case 0:
-      site.pursue(gateway, delay, fate);
+      site.tryAcquire(gateway, delay, fate);
       break;
     case 1:
       site.renew(gateway, delay, fate);
@@ -196,7 +200,7 @@
   }
 }
 
-TEST_CASE("orders of two holders lie a lease apart, and fences only rise") {
+TEST_CASE("orders of two holders are a lease length apart, and fencing tokens only rise") {
   CHECK(rc::check([] {
     const size_t gateways = *rc::gen::inRange<size_t>(2, 5);
     Site site(gateways, false);
@@ -207,27 +211,27 @@
   }));
 }
 
-// A step of a site whose store now and then goes back, and whose gateways start again. A store that tells no
+// A step of a site whose store is restored now and then, and whose gateways restart. A store that reports no
 // era keeps its clock.
-void drawStepOverRestores(Site& site, size_t gateways, bool tells_era) {
+void drawStepOverRestores(Site& site, size_t gateways, bool reports_era) {
   switch (*rc::gen::weightedElement<int>({{16, 0}, {2, 1}, {1, 2}, {1, 3}})) {
     case 0:
       drawStep(site, gateways);
       break;
     case 1:
-      site.store().keepCopy();
+      site.store().saveCopy();
       break;
     case 2:
-      site.restore(*rc::gen::inRange<size_t>(0, 40), tells_era && *rc::gen::inRange(0, 4) == 0);
+      site.restore(*rc::gen::inRange<size_t>(0, 40), reports_era && *rc::gen::inRange(0, 4) == 0);
       break;
     default:
       site.start(*rc::gen::inRange<size_t>(0, gateways));
   }
 }
 
-// Guards against two holders under one fence: a store that is restored from an older copy gives the fences
-// and versions that it forgot to the next holder, while the last one goes on.
-TEST_CASE("two holders never give orders under one fence though the store goes back") {
+// Guards against two holders with one fencing token: a store that is restored from an older copy assigns the
+// lost tokens and versions to the next holder while the previous one continues.
+TEST_CASE("two holders never send orders with one fencing token though the store is restored") {
   CHECK(rc::check([] {
     const size_t gateways = *rc::gen::inRange<size_t>(2, 5);
     Site site(gateways, true);
@@ -238,9 +242,9 @@
   }));
 }
 
-// Guards against two holders under one fence where the store doesn't tell that it went back: nobody can know
-// then that a holder was forgotten, but its fence is not given out again.
-TEST_CASE("no fence is given out twice though the store goes back without a word") {
+// Guards against two holders with one fencing token if the store does not report that it was restored: nobody
+// can know then that a holder's record was lost, but its token must not be assigned again.
+TEST_CASE("no fencing token is assigned twice though the store is restored without reporting it") {
   CHECK(rc::check([] {
     const size_t gateways = *rc::gen::inRange<size_t>(2, 5);
     Site site(gateways, false);
@@ -267,18 +271,18 @@
   return changes;
 }
 
-// Gateways do what a process does: a holder renews, others try to take, and who may order does. Some stand
-// still for a while, and the store's answers and writes are lost or late.
-std::vector<Order> playBusily(bool tells_era, Faults faults) {
+// Gateways behave as in operation: a holder renews, others try to acquire, and whoever may send orders does.
+// Some freeze for a while, and the store's responses and writes are lost or late.
+std::vector<Order> simulate(bool reports_era, Faults faults) {
   const size_t gateways = *rc::gen::inRange<size_t>(2, 4);
-  Site site(gateways, tells_era);
-  std::vector<int> stands_still(gateways, 0);  // for so many steps
+  Site site(gateways, reports_era);
+  std::vector<int> frozen_steps(gateways, 0);  // number of steps
   for (int step = 0; step < 400; ++step) {
     site.pass(absl::Milliseconds(*rc::gen::inRange(0, 250)));
     const size_t gateway = *rc::gen::inRange<size_t>(0, gateways);
     switch (*rc::gen::weightedElement<int>({{97, 0}, {6, 1}, {2, 2}, {10, 3}, {3, 4}, {2, 5}})) {
       case 1:
-        stands_still[gateway] = 20;
+        frozen_steps[gateway] = 20;
         break;
       case 2:
         if (faults.restarts) {
@@ -286,59 +290,59 @@
         }
         break;
       case 3:
-        site.store().keepCopy();
+        site.store().saveCopy();
         break;
       case 4:
         if (faults.restores) {
-          site.restore(*rc::gen::inRange<size_t>(0, 40), tells_era && *rc::gen::inRange(0, 6) == 0);
+          site.restore(*rc::gen::inRange<size_t>(0, 40), reports_era && *rc::gen::inRange(0, 6) == 0);
         }
         break;
       case 5:
-        site.setLateness(absl::Milliseconds(*rc::gen::inRange(1000, 6000)));
+        site.setLateWriteDelay(absl::Milliseconds(*rc::gen::inRange(1000, 6000)));
         break;
       default:
         break;
     }
     const int fate = *rc::gen::weightedElement<int>({{12, 0}, {1, 1}, {1, 2}, {1, 3}});
     const absl::Duration delay = absl::Milliseconds(*rc::gen::inRange(0, 150));
-    if (stands_still[gateway] > 0) {
-      --stands_still[gateway];
+    if (frozen_steps[gateway] > 0) {
+      --frozen_steps[gateway];
     } else if (site.holds(gateway)) {
       site.renew(gateway, delay, fate);
     } else {
-      site.pursue(gateway, delay, fate);
+      site.tryAcquire(gateway, delay, fate);
     }
     site.orderAll();
   }
   return site.orders();
 }
 
-// The lease must change hands in many cases, or a property says nothing.
-void checkBusily(bool tells_era, Faults faults) {
+// Also checks that the lease changes hands, without which the property is vacuous.
+void checkSimulation(bool reports_era, Faults faults) {
   size_t changes = 0;
   CHECK(rc::check([&] {
-    const std::vector<Order> orders = playBusily(tells_era, faults);
+    const std::vector<Order> orders = simulate(reports_era, faults);
     changes += changesOfHolder(orders);
     checkOrders(orders);
   }));
   CHECK(changes > 0);
 }
 
-TEST_CASE("gateways that stand still and lose answers hand the lease on a lease apart") {
-  checkBusily(false, {});
-  checkBusily(true, {});
+TEST_CASE("orders stay a lease length apart with gateways that freeze and lose responses") {
+  checkSimulation(false, {});
+  checkSimulation(true, {});
 }
 
-// Guards against orders within a lease of the last holder's by gateways that start again.
-TEST_CASE("gateways that start again hand the lease on a lease apart") {
-  checkBusily(false, {true, false});
-  checkBusily(true, {true, false});
+// Guards against orders less than a lease length after those of the previous holder by restarted gateways.
+TEST_CASE("orders stay a lease length apart with gateways that restart") {
+  checkSimulation(false, {true, false});
+  checkSimulation(true, {true, false});
 }
 
-// Guards against two holders under one fence, or at once, over a store that is restored from older copies
-// while the lease changes hands.
-TEST_CASE("gateways whose store goes back hand the lease on a lease apart") {
-  checkBusily(true, {true, true});
+// Guards against two holders with one fencing token, or two concurrent ones, if the store is restored from
+// older copies while the lease changes hands.
+TEST_CASE("orders stay a lease length apart though the store is restored") {
+  checkSimulation(true, {true, true});
 }
 
 }  // namespace
--- a/tests/forwarding/reader_election_test.cc
+++ b/tests/forwarding/reader_election_test.cc
@@ -10,7 +10,8 @@
 namespace quincewick::forwarding {
 namespace {
 
-// A zone on virtual time: who reads, whom the store answers, and what each has heard of the others.
+// Simulation of a zone on virtual time: the readers, the nodes that the store responds to, and what each
+// node knows of the others.
 struct Zone {
   struct Node {
     NodeId id;
@@ -68,25 +69,25 @@
   size_t readers() const { return static_cast<size_t>(std::count_if(nodes.begin(), nodes.end(), readsWell)); }
 };
 
-TEST_CASE("one gateway of a zone reads the store in the end, the best machine that the store answers") {
+TEST_CASE("a zone converges to one reader, the gateway of greatest capacity that the store responds to") {
   CHECK(rc::check([] {
     Zone zone(*rc::gen::inRange<size_t>(1, 30));
     for (int round = 0; round < 6; ++round) {
       for (Zone::Node& node : zone.nodes) {
-        const int what = *rc::gen::inRange(0, 10);
-        const bool was_alive = std::exchange(node.is_alive, what > 1);
+        const int action = *rc::gen::inRange(0, 10);
+        const bool was_alive = std::exchange(node.is_alive, action > 1);
         if (!was_alive && node.is_alive) {
           node.election = ReaderElection(node.id, node.capacity);
         }
-        node.store_answers = what != 2;
+        node.store_answers = action != 2;
       }
       zone.run(absl::Seconds(8));
-      const bool is_any_able = std::any_of(zone.nodes.begin(), zone.nodes.end(), [](const Zone::Node& node) {
+      const bool can_any_read = std::any_of(zone.nodes.begin(), zone.nodes.end(), [](const Zone::Node& node) {
         return node.is_alive && node.store_answers;
       });
-      RC_ASSERT(zone.readers() == (is_any_able ? 1 : 0));
+      RC_ASSERT(zone.readers() == (can_any_read ? 1 : 0));
       for (const Zone::Node& node : zone.nodes) {
-        const bool is_served = !node.is_alive || !is_any_able || Zone::readsWell(node) ||
+        const bool is_served = !node.is_alive || !can_any_read || Zone::readsWell(node) ||
                                node.election.role().follows.has_value();
         RC_ASSERT(is_served);
       }
@@ -94,7 +95,7 @@
   }));
 }
 
-TEST_CASE("a reader's end leaves its followers without rows for at most a few turns") {
+TEST_CASE("a stopped reader is replaced within a few turns") {
   Zone zone(26);
   zone.run(absl::Seconds(5));
   REQUIRE(zone.readers() == 1);
@@ -105,15 +106,16 @@
   CHECK(zone.readers() == 1);
 }
 
-TEST_CASE("a gateway that starts follows the reader that there is, and reads nothing") {
+TEST_CASE("a new gateway follows the existing reader and does not read the store") {
   ReaderElection election(NodeId("b"), 10);
   const ReaderRole role = election.decide({{NodeId("a"), 10, true}}, true, absl::UnixEpoch());
   CHECK_FALSE(role.reads);
   CHECK(role.follows == NodeId("a"));
 }
 
-// Finding F20: 48 of 58 gateways began to ask at the same moment, 2 s after the store went.
-TEST_CASE("while the store is down for all, few of a zone ask it") {
+// Guards against a burst of calls in a store outage: 48 of 58 gateways began to read at once, 2 s after its
+// start.
+TEST_CASE("while the store is down for all, few gateways of a zone call it") {
   constexpr size_t kGateways = 58;
   Zone zone(kGateways);
   zone.run(absl::Seconds(5));
@@ -136,7 +138,7 @@
   CHECK(asking() == 1);
 }
 
-TEST_CASE("of a zone that starts whole, the best machine alone reads, at once") {
+TEST_CASE("if all gateways of a zone start together, only the one of greatest capacity reads, at once") {
   constexpr size_t kGateways = 300;
   Zone zone(kGateways);
   zone.step();
@@ -151,12 +153,12 @@
   }));
 }
 
-TEST_CASE("a gateway that knows no peers reads for itself, at once") {
+TEST_CASE("a gateway without peers reads the store at once") {
   ReaderElection election(NodeId("n"), 10);
   CHECK(election.decide({}, true, absl::UnixEpoch()).reads);
 }
 
-TEST_CASE("a reader that the store does not answer follows one that it does") {
+TEST_CASE("a reader without responses from the store follows one that gets them") {
   ReaderElection election(NodeId("a"), 10);
   REQUIRE(election.decide({}, true, absl::UnixEpoch()).reads);
   const std::vector<ReaderCandidate> worse = {{NodeId("b"), 10, true}};
@@ -166,9 +168,9 @@
   CHECK(role.follows == NodeId("b"));
 }
 
-// Finding F16: followers whose last reader went when the store turned silent gave up each next reader before
-// its first answer could come, and distrusted it.
-TEST_CASE("rows that were old before a reader was followed are not held against it") {
+// Guards against followers that abandon each new reader before its first response can arrive and then
+// distrust it, when the previous reader stopped during a store outage.
+TEST_CASE("rows that were stale before a reader was followed do not count against it") {
   const absl::Time start = absl::UnixEpoch();
   const absl::Time confirmed = start - absl::Seconds(10);
   ReaderElection election(NodeId("b"), 10);
--- a/tests/forwarding/reader_zone.h
+++ b/tests/forwarding/reader_zone.h
@@ -1,5 +1,5 @@
-// A zone's gateways on virtual time, as they follow the store's list of servers and the operator's rows: by
-// themselves, or through the peer that reads for the zone.
+// Simulation of a zone's gateways on virtual time that follow the store's server list and the operator's
+// rows, directly or through the zone reader.
 #pragma once
 
 #include <rapidcheck.h>
@@ -19,73 +19,72 @@
 
 inline constexpr absl::Duration kStep = absl::Milliseconds(10);
 inline constexpr absl::Duration kTick = absl::Milliseconds(100);
-inline constexpr absl::Duration kSilentCall =
-    absl::Milliseconds(1500);                               // until a call without an answer is given up
+inline constexpr absl::Duration kCallTimeout = absl::Milliseconds(1500);
 inline constexpr absl::Duration kBound = absl::Seconds(2);  // for leaving servers
-// Of the bound: for the request's own way to its server, a new connection included.
-inline constexpr absl::Duration kWay = absl::Milliseconds(300);
-// Until a follower gives up a question that its reader does not answer, the time that it is held included.
-inline constexpr absl::Duration kRelayLimit = absl::Milliseconds(1700);
-// A peer that says nothing counts as there for so long.
-inline constexpr absl::Duration kSilence = absl::Seconds(2);
-// Disturbed so lately, a gateway is not bound yet.
-inline constexpr absl::Duration kInTouchAfter = absl::Seconds(3);
-
-inline PollingScheduleSettings operatorPace(absl::Duration configuration_bound) {
+// The part of the bound that a request takes to reach its server, including a new connection.
+inline constexpr absl::Duration kRequestTransit = absl::Milliseconds(300);
+// The timeout of a follower's request to its reader, including the time that the reader holds it.
+inline constexpr absl::Duration kRelayTimeout = absl::Milliseconds(1700);
+// How long a silent peer still counts as live.
+inline constexpr absl::Duration kPeerTimeout = absl::Seconds(2);
+// The bounds do not apply to a gateway for this time after a fault.
+inline constexpr absl::Duration kRecoveryTime = absl::Seconds(3);
+
+inline PollingScheduleSettings operatorPollingSettings(absl::Duration configuration_bound) {
   return {absl::Seconds(10), absl::ZeroDuration(), std::min(absl::Seconds(1), configuration_bound / 3)};
 }
 
-inline PollingScheduleSettings serverPace() {
+inline PollingScheduleSettings serverPollingSettings() {
   return {kBound / 16, kBound / 4, absl::Seconds(6)};
 }
 
-// One question that is asked again and again, and whether the store answers it.
-struct Asking {
+// The times of a request that is sent repeatedly.
+struct PollTimes {
   absl::Time next = absl::InfiniteFuture();
-  absl::Time gives_up = absl::InfiniteFuture();  // on a question without an answer
+  absl::Time times_out = absl::InfiniteFuture();  // of a request without a response
 };
 
-// A gateway as it follows the list: by itself, or through the peer that reads for the zone.
+// A gateway that follows the tables, as the zone reader or through it.
 struct Gateway {
   NodeId id;
   ReaderElection election;
   bool is_alive = true;
   bool store_answers = true;
-  absl::Time frozen_since = absl::InfiniteFuture();  // its process stands still
-  bool said_to_read = false;                         // as peers were told before
-  absl::Time disturbed = absl::InfinitePast();
+  absl::Time frozen_since = absl::InfiniteFuture();  // its process is suspended
+  bool reported_reading = false;                     // as last reported to peers
+  absl::Time last_fault = absl::InfinitePast();
   ReaderRole role;
-  // As a reader.
-  PollingSchedule operator_pace;
-  PollingSchedule server_pace{serverPace()};
-  Asking operator_rows;
-  Asking servers;
-  Asking changes;
+  // State as a reader.
+  PollingSchedule operator_polling;
+  PollingSchedule server_polling{serverPollingSettings()};
+  PollTimes operator_rows;
+  PollTimes servers;
+  PollTimes changes;
   bool is_down = false;
   absl::Time own_confirmed = absl::InfinitePast();
   absl::Time own_as_of = absl::InfinitePast();
-  // As anyone.
+  // State in any role.
   LapsedEntries lapsed;
   absl::Duration configuration_bound;
   ConfirmationSchedule schedule;
-  absl::Time question_ends = absl::InfiniteFuture();  // whether its configuration is the newest, unanswered
+  absl::Time confirmation_times_out = absl::InfiniteFuture();  // of the confirmation request in progress
   absl::Time confirmed = absl::InfinitePast();
-  absl::Time told_confirmed = absl::InfinitePast();  // as readers told
+  absl::Time reported_confirmed = absl::InfinitePast();  // as reported by readers
   absl::Time as_of = absl::InfinitePast();
-  absl::Time dropped = absl::InfiniteFuture();  // the server that leaves
+  absl::Time dropped = absl::InfiniteFuture();  // when it dropped the leaving server
 
   Gateway(const std::string& name, absl::Duration bound)
       : id(name),
         election(NodeId(name), 10),
-        operator_pace(operatorPace(bound)),
+        operator_polling(operatorPollingSettings(bound)),
         configuration_bound(bound) {}
 
   bool isFrozen() const { return frozen_since != absl::InfiniteFuture(); }
-  bool acts() const { return is_alive && !isFrozen(); }
+  bool isActive() const { return is_alive && !isFrozen(); }
 
-  // As its peers hear of it.
-  bool isHeard(absl::Time now) const { return is_alive && now < frozen_since + kSilence; }
-  bool isHeardToRead(absl::Time now) const { return isFrozen() ? said_to_read : readsWell(now); }
+  // As seen by its peers.
+  bool isHeard(absl::Time now) const { return is_alive && now < frozen_since + kPeerTimeout; }
+  bool isHeardToRead(absl::Time now) const { return isFrozen() ? reported_reading : readsWell(now); }
 
   bool readsWell(absl::Time now) const {
     const bool is_list_fresh = now - own_as_of <= ReaderElection::maxServerListAge(kBound);
@@ -106,8 +105,8 @@
   std::vector<Gateway> gateways;
   absl::Time now = absl::UnixEpoch();
   absl::Time leaves = absl::InfiniteFuture();
-  bool leaves_without_word = false;
-  // The age of the oldest configuration that a gateway went by that was bound to a newer one.
+  bool leaves_unannounced = false;
+  // The greatest age of the configuration of a gateway to which the bound applied.
   absl::Duration oldest_configuration;
 
   void run(absl::Duration time) {
@@ -125,48 +124,48 @@
 
   void start(Gateway& gateway) {
     gateway = Gateway(gateway.id.value(), gateway.configuration_bound);
-    gateway.disturbed = now;
+    gateway.last_fault = now;
   }
   void stop(Gateway& gateway) {
     gateway.is_alive = false;
-    gateway.disturbed = now;
+    gateway.last_fault = now;
   }
-  void turnAway(Gateway& gateway) {
+  void refuse(Gateway& gateway) {
     gateway.store_answers = false;
-    gateway.disturbed = now;
+    gateway.last_fault = now;
   }
 
-  // The store answers nobody any more, or everybody again.
+  // Makes the store fail for all gateways, or respond to all again.
   void setStoreAnswers(bool answers) {
     for (Gateway& gateway : gateways) {
       gateway.store_answers = answers;
-      gateway.disturbed = now;
+      gateway.last_fault = now;
     }
   }
   void freeze(Gateway& gateway) {
-    gateway.said_to_read = gateway.readsWell(now);
+    gateway.reported_reading = gateway.readsWell(now);
     gateway.frozen_since = now;
-    gateway.disturbed = now;
+    gateway.last_fault = now;
   }
 
-  // Whether all that were in touch all the while dropped the server in time.
+  // Whether all gateways to which the bound applied dropped the server in time.
   bool isDroppedInTime() const {
     return std::all_of(gateways.begin(), gateways.end(), [this](const Gateway& gateway) {
       const bool is_bound =
-          gateway.is_alive && gateway.store_answers && gateway.disturbed < leaves + kBound - kInTouchAfter;
-      return !is_bound || gateway.dropped <= leaves + kBound - kWay;
+          gateway.is_alive && gateway.store_answers && gateway.last_fault < leaves + kBound - kRecoveryTime;
+      return !is_bound || gateway.dropped <= leaves + kBound - kRequestTransit;
     });
   }
 
  private:
   void step() {
     for (Gateway& gateway : gateways) {
-      if (gateway.acts() && gateway.role.reads) {
+      if (gateway.isActive() && gateway.role.reads) {
         read(gateway);
       }
     }
     for (Gateway& gateway : gateways) {
-      if (gateway.acts()) {
+      if (gateway.isActive()) {
         learn(gateway);
         drop(gateway);
         noteAge(gateway);
@@ -174,26 +173,26 @@
     }
     if ((now - absl::UnixEpoch()) % kTick == absl::ZeroDuration()) {
       for (Gateway& gateway : gateways) {
-        if (gateway.acts()) {
+        if (gateway.isActive()) {
           tick(gateway);
         }
       }
     }
   }
 
-  // Asks what is due; returns whether an answer came. `failed`: a question was given up.
-  bool ask(const Gateway& gateway, Asking& asking, bool& failed) const {
-    failed = now >= asking.gives_up;
+  // Sends the request if it is due; returns whether a response came. `failed`: whether a request timed out.
+  bool ask(const Gateway& gateway, PollTimes& poll, bool& failed) const {
+    failed = now >= poll.times_out;
     if (failed) {
-      asking.gives_up = absl::InfiniteFuture();
+      poll.times_out = absl::InfiniteFuture();
       return false;
     }
-    if (now < asking.next) {
+    if (now < poll.next) {
       return false;
     }
-    asking.next = absl::InfiniteFuture();
+    poll.next = absl::InfiniteFuture();
     if (!gateway.store_answers) {
-      asking.gives_up = now + kSilentCall;
+      poll.times_out = now + kCallTimeout;
     }
     return gateway.store_answers;
   }
@@ -203,31 +202,31 @@
     if (ask(gateway, gateway.operator_rows, failed)) {
       gateway.own_confirmed = now;
       gateway.is_down = false;
-      gateway.operator_rows.next = now + gateway.operator_pace.afterSnapshot(random_);
+      gateway.operator_rows.next = now + gateway.operator_polling.afterSnapshot(random_);
     } else if (failed) {
       gateway.is_down = true;
-      gateway.operator_rows.next = now + gateway.operator_pace.afterFailedSnapshot(random_);
+      gateway.operator_rows.next = now + gateway.operator_polling.afterFailedSnapshot(random_);
     }
     if (ask(gateway, gateway.servers, failed)) {
       const bool is_first = gateway.own_as_of == absl::InfinitePast();
       gateway.own_as_of = now;
-      gateway.servers.next = now + gateway.server_pace.afterSnapshot(random_);
+      gateway.servers.next = now + gateway.server_polling.afterSnapshot(random_);
       if (is_first) {
-        gateway.changes.next = now + gateway.server_pace.afterDelta();
+        gateway.changes.next = now + gateway.server_polling.afterDelta();
       }
     } else if (failed) {
-      gateway.servers.next = now + gateway.server_pace.afterFailedSnapshot(random_);
+      gateway.servers.next = now + gateway.server_polling.afterFailedSnapshot(random_);
     }
     if (ask(gateway, gateway.changes, failed)) {
       gateway.own_as_of = now;
-      gateway.changes.next = now + gateway.server_pace.afterDelta();
+      gateway.changes.next = now + gateway.server_polling.afterDelta();
     } else if (failed) {
-      gateway.changes.next = now + gateway.server_pace.afterFailedDelta();
+      gateway.changes.next = now + gateway.server_polling.afterFailedDelta();
     }
   }
 
   void noteAge(const Gateway& gateway) {
-    const bool is_bound = gateway.store_answers && now - gateway.disturbed > kInTouchAfter;
+    const bool is_bound = gateway.store_answers && now - gateway.last_fault > kRecoveryTime;
     if (is_bound && gateway.confirmed != absl::InfinitePast()) {
       oldest_configuration = std::max(oldest_configuration, now - gateway.confirmed);
     }
@@ -249,24 +248,24 @@
       return;
     }
     if (source->isFrozen()) {
-      if (now - source->frozen_since >= kRelayLimit) {
+      if (now - source->frozen_since >= kRelayTimeout) {
         gateway.election.noteFailed(source->id, now);
         gateway.role = gateway.election.role();
       }
       return;
     }
     gateway.confirmed = std::max(gateway.confirmed, source->own_confirmed);
-    gateway.told_confirmed = std::max(gateway.told_confirmed, source->own_confirmed);
+    gateway.reported_confirmed = std::max(gateway.reported_confirmed, source->own_confirmed);
     if (source->own_as_of > gateway.as_of) {
       gateway.as_of = source->own_as_of;
-      gateway.lapsed.noteReading(now);
+      gateway.lapsed.noteListRead(now);
     }
   }
 
   void drop(Gateway& gateway) const {
-    const bool is_told = gateway.as_of >= leaves;
-    const bool is_awaited = leaves_without_word && gateway.lapsed.mayReappear(now);
-    if (is_told && !is_awaited) {
+    const bool is_known = gateway.as_of >= leaves;
+    const bool is_awaited = leaves_unannounced && gateway.lapsed.mayReappear(now);
+    if (is_known && !is_awaited) {
       gateway.dropped = std::min(gateway.dropped, now);
     }
   }
@@ -276,7 +275,7 @@
     const absl::Duration oldest_configuration =
         ReaderElection::maxConfigurationAge(gateway.configuration_bound);
     const bool is_outdated =
-        gateway.election.followsStaleReader(gateway.told_confirmed, oldest_configuration, now) ||
+        gateway.election.followsStaleReader(gateway.reported_confirmed, oldest_configuration, now) ||
         gateway.election.followsStaleReader(gateway.as_of, oldest_list, now);
     if (is_outdated) {
       gateway.election.noteStaleReader(*gateway.role.follows, now);
@@ -295,8 +294,8 @@
       gateway.lapsed.noteStoreOutage();
     }
     if (gateway.role.reads && !was_reading) {
-      gateway.operator_pace.restart();
-      gateway.server_pace.restart();
+      gateway.operator_polling.restart();
+      gateway.server_polling.restart();
       gateway.operator_rows = {now, absl::InfiniteFuture()};
       gateway.servers = {now, absl::InfiniteFuture()};
       gateway.changes = {};
@@ -307,15 +306,15 @@
     confirm(gateway);
   }
 
-  // Asks the store itself whether its configuration is the newest, where that is due.
+  // Asks the store for a confirmation if that is due.
   void confirm(Gateway& gateway) const {
-    if (now >= gateway.question_ends) {
-      gateway.question_ends = absl::InfiniteFuture();
+    if (now >= gateway.confirmation_times_out) {
+      gateway.confirmation_times_out = absl::InfiniteFuture();
     }
     const absl::Duration bound = gateway.configuration_bound;
     const auto hears_reader = [&gateway] { return gateway.role.reads || gateway.election.hearsReader(); };
-    const bool is_asking = gateway.question_ends != absl::InfiniteFuture();
-    if (is_asking || gateway.confirmed == absl::InfinitePast() ||
+    const bool is_pending = gateway.confirmation_times_out != absl::InfiniteFuture();
+    if (is_pending || gateway.confirmed == absl::InfinitePast() ||
         !gateway.schedule.isDue(bound, gateway.confirmed, hears_reader, now)) {
       return;
     }
@@ -323,7 +322,7 @@
     if (gateway.store_answers) {
       takeConfirmation(gateway);
     } else {
-      gateway.question_ends = now + ConfirmationSchedule::confirmationTimeout(bound);
+      gateway.confirmation_times_out = now + ConfirmationSchedule::confirmationTimeout(bound);
     }
   }
 
@@ -341,9 +340,9 @@
   std::minstd_rand random_;
 };
 
-inline constexpr int kCalmMs = 8000;
+inline constexpr int kSettleMs = 8000;
 
-inline absl::Duration drawn(int least_ms, int most_ms) {
+inline absl::Duration randomDuration(int least_ms, int most_ms) {
   return absl::Milliseconds(10 * *rc::gen::inRange(least_ms / 10, most_ms / 10));
 }
 
--- a/tests/forwarding/rollout_planner_test.cc
+++ b/tests/forwarding/rollout_planner_test.cc
@@ -30,17 +30,17 @@
 struct Outcome {
   uint32_t loads = 0;
   uint32_t max_concurrent_loads = 0;
-  absl::Duration least_spare = absl::InfiniteDuration();  // emptying, over what an engine was owed
-  uint32_t late = 0;  // versions that were not on every engine by their bound
+  absl::Duration least_excess_drain = absl::InfiniteDuration();  // drain time beyond the required one
+  uint32_t late = 0;  // engines without a version at its deadline, over all versions
 };
 
-// How long an engine that was reserved then must be emptied: the shortest, or what its round has for it
-// before a bound, with as many loads at once as there may be.
-absl::Duration owedEmptying(const std::vector<RolloutEngine>& fleet, const WeightsRegister& weights,
-                            absl::Duration load_time, absl::Time reserved) {
+// How long an engine that was reserved at `reserved` must drain: the minimum, or the time that its round has
+// before a bound with the maximum number of concurrent loads, if that is less.
+absl::Duration requiredDrainTime(const std::vector<RolloutEngine>& fleet, const WeightsRegister& weights,
+                                 absl::Duration load_time, absl::Time reserved) {
   const RolloutSettings settings;
   const size_t at_once = std::max<size_t>(settings.max_concurrent_loads, fleet.size() / 5);
-  absl::Duration owed = settings.min_drain_time;
+  absl::Duration required = settings.min_drain_time;
   for (WeightsVersion version(1); version < weights.newest(kModel);
        version = WeightsVersion(version.value() + 1)) {
     const auto due = std::count_if(fleet.begin(), fleet.end(), [version](const RolloutEngine& engine) {
@@ -49,15 +49,15 @@
     if (due > 0) {
       const size_t rounds = (static_cast<size_t>(due) + at_once - 1) / at_once;
       const absl::Duration left = weights.deadlineOf(kModel, version) - settings.margin - reserved;
-      owed = std::min(owed, left / static_cast<double>(rounds) - load_time);
+      required = std::min(required, left / static_cast<double>(rounds) - load_time);
     }
   }
-  return owed;
+  return required;
 }
 
-// Plays loads that take `load_time` each, with versions named at the given times, for 40 seconds.
-Outcome play(size_t count, absl::Duration load_time, const std::vector<absl::Duration>& named,
-             const RolloutSettings& settings = RolloutSettings()) {
+// Simulates 40 s of loads that take `load_time` each, with versions named at the given times.
+Outcome simulate(size_t count, absl::Duration load_time, const std::vector<absl::Duration>& named,
+                 const RolloutSettings& settings = RolloutSettings()) {
   const absl::Time start = absl::UnixEpoch();
   WeightsRegister weights(kBound);
   auto fleet = engines(count);
@@ -84,8 +84,8 @@
     }
     for (const std::string& id : plan.order) {
       const absl::Time reserved = std::min(fleet[indexOf(id)].reserved_since, now);
-      const absl::Duration owed = owedEmptying(fleet, weights, load_time, reserved);
-      outcome.least_spare = std::min(outcome.least_spare, now - reserved - owed);
+      const absl::Duration required = requiredDrainTime(fleet, weights, load_time, reserved);
+      outcome.least_excess_drain = std::min(outcome.least_excess_drain, now - reserved - required);
     }
     for (const std::string& id : plan.order) {
       const size_t index = indexOf(id);
@@ -116,39 +116,41 @@
       at += absl::Milliseconds(*rc::gen::inRange(1, 120) * 50);
       named.push_back(at);
     }
-    const Outcome outcome = play(count, load_time, named);
+    const Outcome outcome = simulate(count, load_time, named);
     RC_ASSERT(outcome.late == 0);
-    RC_ASSERT(outcome.least_spare >= absl::ZeroDuration());
+    RC_ASSERT(outcome.least_excess_drain >= absl::ZeroDuration());
     RC_ASSERT(outcome.max_concurrent_loads <=
               std::max<size_t>(RolloutSettings().max_concurrent_loads, count / 5));
   }));
 }
 
-TEST_CASE("versions named in between need no load of their own") {
+TEST_CASE("versions named while loads are delayed need no load of their own") {
   const auto named = {absl::Seconds(2), absl::Milliseconds(5200), absl::Milliseconds(8400),
                       absl::Milliseconds(11600)};
   RolloutSettings settings;
   settings.start_delay = absl::InfiniteDuration();
-  const Outcome outcome = play(12, absl::Milliseconds(900), named, settings);
+  const Outcome outcome = simulate(12, absl::Milliseconds(900), named, settings);
   CHECK(outcome.late == 0);
   CHECK(outcome.loads <= 30);  // 48 with a load for each version
   CHECK(outcome.loads >= 12);
 }
 
-// Finding F10: four loads at once, begun as late as allowed, left 14 of 90 engines behind.
+// Guards against engines that miss the bound: four concurrent loads, begun as late as allowed, left 14 of 90
+// engines behind.
 TEST_CASE("a large fleet loads a fifth of its engines at once, as soon as a version is named") {
   WeightsRegister weights(kBound);
   const absl::Time now = absl::UnixEpoch();
   weights.note({kModel, WeightsVersion(2)}, now);
   const auto plan = planRollout(engines(90), kModel, weights, kBound, absl::Seconds(1), {}, now);
   CHECK(plan.is_due);
-  const Outcome outcome = play(90, absl::Seconds(1), {absl::Seconds(2)});
+  const Outcome outcome = simulate(90, absl::Seconds(1), {absl::Seconds(2)});
   CHECK(outcome.max_concurrent_loads == 18);
   CHECK(outcome.late == 0);
 }
 
-// Finding F11: a load holds up the streams that run; 30 in 100 short requests paused for too long.
-TEST_CASE("an engine is reserved and emptied before its order") {
+// Guards against loads that block running streams: without draining, 30% of the short requests paused for too
+// long.
+TEST_CASE("an engine is reserved and drained before its order") {
   WeightsRegister weights(kBound);
   const absl::Time named = absl::UnixEpoch();
   weights.note({kModel, WeightsVersion(2)}, named);
@@ -165,15 +167,15 @@
   }
   const absl::Time soon = named + absl::Milliseconds(250);
   CHECK(planRollout(fleet, kModel, weights, kBound, absl::Milliseconds(500), {}, soon).order.empty());
-  const absl::Time emptied = named + RolloutSettings().max_drain_time;
-  CHECK(planRollout(fleet, kModel, weights, kBound, absl::Milliseconds(500), {}, emptied).order.size() == 2);
+  const absl::Time drained = named + RolloutSettings().max_drain_time;
+  CHECK(planRollout(fleet, kModel, weights, kBound, absl::Milliseconds(500), {}, drained).order.size() == 2);
   for (RolloutEngine& engine : fleet) {
     engine.running = 0;
   }
   CHECK(planRollout(fleet, kModel, weights, kBound, absl::Milliseconds(500), {}, soon).order.size() == 2);
 }
 
-TEST_CASE("nothing is ordered where every engine has the newest version, or none was named") {
+TEST_CASE("no order is sent if every engine has the newest version, or none was named") {
   WeightsRegister weights(kBound);
   const absl::Time now = absl::UnixEpoch();
   CHECK(planRollout(engines(3), kModel, weights, kBound, absl::Seconds(1), {}, now).order.empty());
@@ -183,7 +185,8 @@
   CHECK(plan.reserve.empty());
 }
 
-// Finding F19: with the next round emptied while one loaded, up to four of nine engines served nothing.
+// Guards against lost capacity: with the next round draining during a load, up to four of nine engines served
+// nothing.
 TEST_CASE("no more engines are taken out of service than may load at once") {
   WeightsRegister weights(kBound);
   const absl::Time named = absl::UnixEpoch();
@@ -200,9 +203,9 @@
   CHECK(taken_out(named) == 0);
 }
 
-// Finding F21: after the store was away, engines below the version that requests need were emptied all the
-// same.
-TEST_CASE("engines that are behind their bound are not emptied") {
+// Guards against draining engines that no request may use anyway because their version is too old, as after a
+// store outage.
+TEST_CASE("engines that are behind their bound are not drained") {
   WeightsRegister weights(kBound);
   const absl::Time named = absl::UnixEpoch();
   weights.note({kModel, WeightsVersion(2)}, named);
@@ -220,11 +223,11 @@
   CHECK(late.reserve.empty());
 }
 
-TEST_CASE("emptying takes what time the loads that are left allow") {
+TEST_CASE("draining takes the time that the remaining loads leave") {
   WeightsRegister weights(kBound);
   const absl::Time named = absl::UnixEpoch();
   weights.note({kModel, WeightsVersion(2)}, named);
-  // Five rounds of 700 ms and 100 ms each for emptying, until the bound less its margin.
+  // Five rounds of a 700 ms load and 100 ms for draining each, until the bound minus its margin.
   const absl::Time reserved =
       weights.deadlineOf(kModel, WeightsVersion(1)) - RolloutSettings().margin - 5 * absl::Milliseconds(800);
   auto fleet = engines(90);
@@ -232,24 +235,25 @@
     engine.running = 3;
     engine.reserved_since = reserved;
   }
-  const auto orders_after = [&](absl::Duration emptied) {
-    const absl::Time now = reserved + emptied;
+  const auto orders_after = [&](absl::Duration drained) {
+    const absl::Time now = reserved + drained;
     return planRollout(fleet, kModel, weights, kBound, absl::Milliseconds(700), {}, now).order.size();
   };
   CHECK(orders_after(absl::Milliseconds(99)) == 0);
   CHECK(orders_after(absl::Milliseconds(100)) == 18);
 }
 
-// The emptying that a round had had was counted as still to come: the last round got half of its time.
-TEST_CASE("the last engine is emptied for what its load leaves before the bound") {
+// Guards against counting the past drain time of a round as still needed, which halved the time of the last
+// round.
+TEST_CASE("the last engine drains for the time that its load leaves before the bound") {
   WeightsRegister weights(kBound);
   weights.note({kModel, WeightsVersion(2)}, absl::UnixEpoch());
   const absl::Duration load_time = absl::Milliseconds(750);
   const absl::Time done = weights.deadlineOf(kModel, WeightsVersion(1)) - RolloutSettings().margin;
   auto fleet = engines(1);
   fleet[0].reserved_since = done - load_time - absl::Milliseconds(300);
-  const auto is_ordered_after = [&](absl::Duration emptied) {
-    const absl::Time now = fleet[0].reserved_since + emptied;
+  const auto is_ordered_after = [&](absl::Duration drained) {
+    const absl::Time now = fleet[0].reserved_since + drained;
     return planRollout(fleet, kModel, weights, kBound, load_time, {}, now).order.size() == 1;
   };
   CHECK_FALSE(is_ordered_after(absl::Milliseconds(199)));
--- a/tests/forwarding/row_cache_test.cc
+++ b/tests/forwarding/row_cache_test.cc
@@ -18,43 +18,43 @@
   return result;
 }
 
-// Rows that differ only behind a slash say the same.
-std::string meaning(const std::string& value) {
+// Rows that differ only after a slash are equivalent.
+std::string relevantPart(const std::string& value) {
   return value.substr(0, value.find('/'));
 }
 
 RowCache makeCache() {
   return RowCache([](const StoreRow& known, const StoreRow& written) {
-    return meaning(known.value) == meaning(written.value);
+    return relevantPart(known.value) == relevantPart(written.value);
   });
 }
 
-// What one who asks makes of the news.
-struct Asker {
+// A peer that applies the updates it receives.
+struct Follower {
   std::map<std::string, std::string> rows;
   uint64_t version = 0;
 
-  void take(const TableUpdate& news) {
-    if (news.is_whole) {
+  void take(const TableUpdate& update) {
+    if (update.is_whole) {
       rows.clear();
     }
-    for (const StoreRow& changed : news.rows) {
+    for (const StoreRow& changed : update.rows) {
       if (changed.is_gone) {
         rows.erase(changed.key);
       } else {
-        rows[changed.key] = meaning(changed.value);
+        rows[changed.key] = relevantPart(changed.value);
       }
     }
-    version = std::max(version, news.version);
+    version = std::max(version, update.version);
   }
 };
 
-TEST_CASE("who asks now and then has what the reader has, whatever the feed leaves out") {
+TEST_CASE("a peer that polls now and then has the rows of the reader, whatever the deltas leave out") {
   CHECK(rc::check([] {
     std::map<std::string, StoreRow> store;
     uint64_t version = 1;
     RowCache cache = makeCache();
-    Asker asker;
+    Follower peer;
     cache.take({{}, true, version, absl::UnixEpoch()});
     for (int step = 0; step < 120; ++step) {
       const std::string key(1, static_cast<char>('a' + *rc::gen::inRange(0, 6)));
@@ -71,8 +71,8 @@
             row(key, std::to_string(*rc::gen::inRange(0, 3)) + "/" + std::to_string(version), version);
         changed.push_back(store[key]);
       }
-      const bool is_heard = *rc::gen::inRange(0, 4) > 0;
-      if (is_heard) {
+      const bool is_received = *rc::gen::inRange(0, 4) > 0;
+      if (is_received) {
         cache.take({changed, false, version, absl::InfinitePast()});
       }
       if (*rc::gen::inRange(0, 5) == 0) {
@@ -84,27 +84,27 @@
         cache.take({all, true, version, absl::UnixEpoch() + absl::Seconds(step)});
       }
       if (*rc::gen::inRange(0, 3) == 0) {
-        asker.take(cache.updateSince(asker.version));
+        peer.take(cache.updateSince(peer.version));
       }
     }
     std::vector<StoreRow> all;
     std::map<std::string, std::string> expected;
     for (const auto& [name, kept] : store) {
       all.push_back(kept);
-      expected[name] = meaning(kept.value);
+      expected[name] = relevantPart(kept.value);
     }
     cache.take({all, true, version, absl::UnixEpoch()});
-    asker.take(cache.updateSince(asker.version));
-    RC_ASSERT(asker.rows == expected);
+    peer.take(cache.updateSince(peer.version));
+    RC_ASSERT(peer.rows == expected);
   }));
 }
 
-// A draining server seemed ready again, and one that had gone came back, for the seconds until the next whole
-// reading: its first page was read before the change was told, its last one after it.
-TEST_CASE("a reading in pages, between changes, leaves nothing out and brings nothing back") {
+// Guards against a draining server that seems ready again, or a deleted one that reappears, until the next
+// snapshot: the first page of a snapshot was read before a delta reported the change, the last page after it.
+TEST_CASE("a paged snapshot with concurrent deltas loses no row and restores no deleted row") {
   CHECK(rc::check([] {
     std::map<std::string, StoreRow> store;
-    std::vector<StoreRow> log;  // the last change of each row, by rising versions
+    std::vector<StoreRow> log;  // the last change of each row, in ascending order of versions
     uint64_t version = 1;
     uint64_t followed = 0;
     RowCache cache = makeCache();
@@ -125,96 +125,96 @@
         change();
       }
     };
-    // What the store answered, taken now or later.
-    const auto feed = [&] {
-      TableUpdate news;
-      std::copy_if(log.begin(), log.end(), std::back_inserter(news.rows),
+    // The next delta of the store, which may be applied later.
+    const auto nextDelta = [&] {
+      TableUpdate update;
+      std::copy_if(log.begin(), log.end(), std::back_inserter(update.rows),
                    [&](const StoreRow& changed) { return changed.version > followed; });
-      news.version = version;
+      update.version = version;
       followed = version;
-      return news;
+      return update;
     };
-    const auto page = [&](const std::string& from, const std::string& to, TableUpdate& whole) {
+    const auto page = [&](const std::string& from, const std::string& to, TableUpdate& snapshot) {
       for (const auto& [key, kept] : store) {
         if (key >= from && key < to) {
-          whole.rows.push_back(kept);
+          snapshot.rows.push_back(kept);
         }
       }
     };
     for (int round = 0; round < 12; ++round) {
       changes();
-      TableUpdate whole;
-      whole.is_whole = true;
-      whole.version = version;
-      page("a", "d", whole);
+      TableUpdate snapshot;
+      snapshot.is_whole = true;
+      snapshot.version = version;
+      page("a", "d", snapshot);
       changes();
-      std::vector<TableUpdate> told;
+      std::vector<TableUpdate> deltas;
       if (cache.hasSnapshot() && *rc::gen::arbitrary<bool>()) {
-        told.push_back(feed());
+        deltas.push_back(nextDelta());
       }
       changes();
-      page("d", "z", whole);
+      page("d", "z", snapshot);
       changes();
       if (cache.hasSnapshot() && *rc::gen::arbitrary<bool>()) {
-        told.push_back(feed());
+        deltas.push_back(nextDelta());
       }
-      const bool is_whole_first = *rc::gen::arbitrary<bool>();
+      const bool is_snapshot_first = *rc::gen::arbitrary<bool>();
       const bool was_filled = cache.hasSnapshot();
-      if (is_whole_first) {
-        cache.take(whole);
+      if (is_snapshot_first) {
+        cache.take(snapshot);
       }
-      for (const TableUpdate& news : told) {
-        cache.take(news);
+      for (const TableUpdate& update : deltas) {
+        cache.take(update);
       }
-      if (!is_whole_first) {
-        cache.take(whole);
+      if (!is_snapshot_first) {
+        cache.take(snapshot);
       }
       if (!was_filled) {
-        followed = whole.version;
+        followed = snapshot.version;
       }
-      cache.take(feed());
+      cache.take(nextDelta());
       std::map<std::string, std::string> expected;
       for (const auto& [key, kept] : store) {
         expected[key] = kept.value;
       }
-      Asker asker;
-      asker.take(cache.updateSince(0));
-      RC_ASSERT(asker.rows == expected);
+      Follower peer;
+      peer.take(cache.updateSince(0));
+      RC_ASSERT(peer.rows == expected);
     }
   }));
 }
 
-// A server had left a moment before a gateway that had just started read the list for its zone: it never knew
-// of the server, so it told nobody that it was gone, and a follower of another reader before went on with it.
-TEST_CASE("who changes to a new reader learns what went before its first reading") {
+// Guards against a follower that keeps a deleted server after a change of reader: the new reader started
+// after the server had left, never knew of it and so reports no deletion.
+TEST_CASE("a follower of a new reader learns of rows deleted before the reader's first snapshot") {
   RowCache before = makeCache();
   before.take({{row("stays", "1", 3), row("leaves", "1", 4)}, true, 5, absl::UnixEpoch()});
-  Asker asker;
-  asker.take(before.updateSince(0));
-  REQUIRE(asker.rows.size() == 2);
+  Follower peer;
+  peer.take(before.updateSince(0));
+  REQUIRE(peer.rows.size() == 2);
   RowCache after = makeCache();
   after.take({{row("stays", "1", 3)}, true, 8, absl::UnixEpoch()});
-  asker.take(after.updateSince(asker.version));
-  CHECK(asker.rows.size() == 1);
+  peer.take(after.updateSince(peer.version));
+  CHECK(peer.rows.size() == 1);
 }
 
-// A follower that becomes the reader tells the others what changed, not all: it knows what they know.
-TEST_CASE("a follower that reads from now on tells changes alone") {
+// A follower that becomes the reader knows the rows of the other followers and need not send them a snapshot.
+TEST_CASE("a follower that becomes the reader serves deltas") {
   RowCache reader = makeCache();
   reader.take({{row("stays", "1", 3), row("leaves", "1", 4)}, true, 5, absl::UnixEpoch()});
   RowCache follower = makeCache();
-  Asker other;
+  Follower other;
   follower.take(reader.updateSince(0));
   other.take(reader.updateSince(0));
   follower.take({{row("stays", "1", 3), row("new", "1", 7)}, true, 8, absl::UnixEpoch()});
-  const TableUpdate news = follower.updateSince(other.version);
-  CHECK_FALSE(news.is_whole);
-  CHECK(news.rows.size() == 2);
-  other.take(news);
+  const TableUpdate update = follower.updateSince(other.version);
+  CHECK_FALSE(update.is_whole);
+  CHECK(update.rows.size() == 2);
+  other.take(update);
   CHECK(other.rows == std::map<std::string, std::string>{{"stays", "1"}, {"new", "1"}});
 }
 
-TEST_CASE("a row that says the same as before is no news") {
+TEST_CASE("a rewritten row that is equivalent is not part of a delta") {
   RowCache cache = makeCache();
   cache.take({{row("a", "1/x", 5)}, true, 5, absl::UnixEpoch()});
   const uint64_t last_change = cache.lastChange();
@@ -225,7 +225,7 @@
   CHECK(cache.updateSince(5).rows.size() == 1);
 }
 
-TEST_CASE("only whole readings confirm; every answer is counted and tells as of when the rows are") {
+TEST_CASE("only snapshots confirm; every response is counted and sets the time as of which the rows are") {
   RowCache cache = makeCache();
   CHECK_FALSE(cache.hasSnapshot());
   const absl::Time began = absl::UnixEpoch() + absl::Seconds(3);
@@ -240,7 +240,7 @@
   CHECK(cache.asOf() == asked);
 }
 
-TEST_CASE("after a long time away all rows are told") {
+TEST_CASE("a peer that missed too many deletions gets a snapshot") {
   RowCache cache = makeCache();
   uint64_t version = 1;
   cache.take({{row("stays", "1", 1)}, true, version, absl::UnixEpoch()});
@@ -250,9 +250,9 @@
     leaves.is_gone = true;
     cache.take({{leaves}, false, version, absl::InfinitePast()});
   }
-  const TableUpdate news = cache.updateSince(2);
-  CHECK(news.is_whole);
-  CHECK(news.rows.size() == 1);
+  const TableUpdate update = cache.updateSince(2);
+  CHECK(update.is_whole);
+  CHECK(update.rows.size() == 1);
 }
 
 }  // namespace
--- a/tests/forwarding/server_directory_test.cc
+++ b/tests/forwarding/server_directory_test.cc
@@ -25,7 +25,7 @@
   return result;
 }
 
-TEST_CASE("versions of one start only rise, whatever an old entry says") {
+TEST_CASE("versions of one incarnation only rise, whatever an old entry says") {
   ServerDirectory directory;
   CHECK(directory.upsert(entry("a")) == EntryEffect::kNew);
   const auto server = directory.find("a");
@@ -34,7 +34,7 @@
   CHECK(server->versionOf(ModelName("m")) == WeightsVersion(3));
 }
 
-TEST_CASE("a draining server takes no work and never comes back") {
+TEST_CASE("a draining server gets no new requests and never becomes eligible again") {
   ServerDirectory directory;
   ServerEntry draining = entry("a");
   draining.is_draining = true;
@@ -43,7 +43,7 @@
   CHECK_FALSE(directory.find("a")->isEligible(kNow));
 }
 
-TEST_CASE("a server that went frees its slot, and what was believed of it is void") {
+TEST_CASE("a removed server frees its slot and invalidates what was recorded for it") {
   ServerDirectory directory;
   directory.upsert(entry("a"));
   const auto server = directory.find("a");
@@ -59,7 +59,7 @@
   CHECK(directory.takeFreedSlots().empty());
 }
 
-TEST_CASE("peers' loads add up, however their accounts are cut, and a silent peer's are forgotten") {
+TEST_CASE("loads of peers add up, however their reports are split, and those of a silent peer are dropped") {
   CHECK(rc::check([] {
     ServerDirectory directory;
     std::vector<uint64_t> hashes;
@@ -97,7 +97,8 @@
   }));
 }
 
-TEST_CASE("what an engine's books told counts for a moment, with what this node began and ended since") {
+TEST_CASE(
+    "the load reported by an occupancy's owner is valid for a while, adjusted by this node's own changes") {
   ServerDirectory directory;
   directory.upsert(entry("a"));
   const auto server = directory.find("a");
@@ -110,7 +111,7 @@
   CHECK(server->load(kNow + absl::Milliseconds(500)).running == 3);
 }
 
-TEST_CASE("a server whose connections fail rests for longer each time") {
+TEST_CASE("a server is ejected for longer with each consecutive connect failure") {
   ServerDirectory directory;
   directory.upsert(entry("a"));
   const auto server = directory.find("a");
@@ -122,25 +123,25 @@
   CHECK(server->ejected_until - first > first - kNow);
 }
 
-TEST_CASE("the choice avoids crowded, failing and excluded servers") {
+TEST_CASE("the choice avoids loaded, failing and excluded servers") {
   ServerDirectory directory;
   for (const char* id : {"a", "b", "c"}) {
     directory.upsert(entry(id));
   }
   std::mt19937 random(7);
-  const auto life = [&](const std::string& id) { return directory.find(id)->identity_hash; };
+  const auto identityHash = [&](const std::string& id) { return directory.find(id)->identity_hash; };
   const auto choose = [&](const std::vector<uint64_t>& excluded) {
     return chooseServer(directory.ofService(kService), excluded, ZoneName("z"), kNow, random)->entry.id;
   };
   directory.find("a")->own.running = 8;
   ServerDirectory::noteFailure(*directory.find("b"), 4, kNow);
   CHECK(choose({}) == "c");
-  CHECK(choose({life("c"), life("b")}) == "a");
-  CHECK(chooseServer(directory.ofService(kService), {life("a"), life("b"), life("c")}, ZoneName("z"), kNow,
-                     random) == nullptr);
+  CHECK(choose({identityHash("c"), identityHash("b")}) == "a");
+  CHECK(chooseServer(directory.ofService(kService), {identityHash("a"), identityHash("b"), identityHash("c")},
+                     ZoneName("z"), kNow, random) == nullptr);
 }
 
-TEST_CASE("a rate that a server named outlasts its entry, and ends with its life") {
+TEST_CASE("a rate limit set by a server outlasts its entry and ends with its incarnation") {
   ServerDirectory directory;
   ServerEntry first = entry("a");
   first.started = kNow;
@@ -158,8 +159,8 @@
 }
 
 TEST_CASE(
-    "a server whose rate is used up takes no work until some comes free, and first until an answer names "
-    "none") {
+    "a server whose rate is used up gets no new requests until capacity is free or a response sets no "
+    "limit") {
   ServerDirectory directory;
   directory.upsert(entry("a"));
   const auto server = directory.find("a");
@@ -177,7 +178,7 @@
   CHECK(server->isEligible(kNow));
 }
 
-TEST_CASE("no time to return is told while a server is free or all have left") {
+TEST_CASE("no retry time is given while a server is free or all have left") {
   ServerDirectory directory;
   CHECK(firstFree(directory.ofService(kService), kNow) == absl::InfiniteFuture());
   directory.upsert(entry("a"));
@@ -189,9 +190,8 @@
   CHECK(firstFree(directory.ofService(kService), kNow) == kNow + absl::Milliseconds(300));
 }
 
-// While the store is away, an entry lapses and comes back as it was.
-TEST_CASE(
-    "a server that said that it leaves never comes back, whatever its entry says, but as a later life") {
+// In a store outage, an entry lapses and reappears unchanged.
+TEST_CASE("a server that announced its leaving is eligible again only as a later incarnation") {
   ServerDirectory directory;
   ServerEntry first = entry("a");
   first.started = kNow;
--- a/tests/forwarding/server_starts_test.cc
+++ b/tests/forwarding/server_starts_test.cc
@@ -1,5 +1,5 @@
-// Servers that start again under the id that they had. What was believed of the life before is void,
-// whichever way the news came, and no older life comes back.
+// Servers that restart under the same id. State of the previous incarnation is invalid, whichever way the
+// restart became known, and no older incarnation becomes current again.
 #include <absl/random/random.h>
 
 #include <rapidcheck.h>
@@ -33,7 +33,7 @@
   return result;
 }
 
-TEST_CASE("a server that starts again has nothing of its earlier life") {
+TEST_CASE("a restarted server has no state of its earlier incarnation") {
   ServerDirectory directory;
   directory.upsert(entry(kFirstStart, 3));
   const auto earlier = directory.find("a");
@@ -53,7 +53,7 @@
   CHECK(directory.ofService(kService).size() == 1);
 }
 
-TEST_CASE("a draining or gone server that starts again is a server to use") {
+TEST_CASE("a draining or removed server is eligible after a restart") {
   ServerDirectory directory;
   ServerEntry draining = entry(kFirstStart);
   draining.is_draining = true;
@@ -66,7 +66,7 @@
   CHECK(directory.find("a")->isEligible(kNow));
 }
 
-TEST_CASE("an older start never replaces a newer one, also after the entry went") {
+TEST_CASE("an older start time never replaces a newer one, even after the entry was removed") {
   ServerDirectory directory;
   directory.upsert(entry(kSecondStart));
   CHECK(directory.upsert(entry(kFirstStart)) == EntryEffect::kOutdated);
@@ -76,7 +76,7 @@
   CHECK(directory.find("a") == nullptr);
 }
 
-TEST_CASE("a server tells its later start itself before the list does") {
+TEST_CASE("a server itself reports its later start time before the list does") {
   ServerDirectory directory;
   directory.upsert(entry(kFirstStart, 5));
   const auto earlier = directory.find("a");
@@ -86,7 +86,7 @@
   CHECK(directory.upsert(entry(kSecondStart, 4)) == EntryEffect::kKnown);
 }
 
-TEST_CASE("an entry without a start is of the life that is known") {
+TEST_CASE("an entry without a start time belongs to the known incarnation") {
   ServerDirectory directory;
   directory.upsert(entry(kFirstStart));
   const auto known = directory.find("a");
@@ -95,7 +95,7 @@
   CHECK(known->entry.started == kFirstStart);
 }
 
-TEST_CASE("what peers told of the earlier life says nothing of the later one") {
+TEST_CASE("loads that peers reported for the earlier incarnation do not count for the later one") {
   ServerDirectory directory;
   directory.upsert(entry(kFirstStart));
   const uint64_t earlier = directory.find("a")->identity_hash;
@@ -110,7 +110,7 @@
   CHECK(later->peers.running == 2);
 }
 
-TEST_CASE("places in the books of the earlier life are not in hand at the later one") {
+TEST_CASE("reserved slots of the earlier incarnation are not occupied at the later one") {
   ServerDirectory directory;
   OccupancyBooks books;
   directory.upsert(entry(kFirstStart));
@@ -119,7 +119,7 @@
   CHECK(books.at(directory.find("a")->identity_hash, kNow).running == 0);
 }
 
-TEST_CASE("a request that its earlier life had may go to the later one") {
+TEST_CASE("a request that the earlier incarnation received may be sent to the later one") {
   ServerDirectory directory;
   directory.upsert(entry(kFirstStart));
   const uint64_t tried = directory.find("a")->identity_hash;
@@ -132,7 +132,7 @@
   CHECK(choose() == directory.find("a"));
 }
 
-TEST_CASE("a prompt finds nothing kept at an engine that started again, yet its home is there") {
+TEST_CASE("a restarted engine has an empty cache but remains the home of its prompts") {
   ServerDirectory directory;
   EnginePlacement placement{EnginePlacementSettings()};
   for (const char* id : {"a", "b", "c", "d"}) {
@@ -160,7 +160,7 @@
   CHECK(second->cached_tokens == 0);
 }
 
-TEST_CASE("an unreadable entry gives no new work and loses nothing that is believed") {
+TEST_CASE("a server with an unreadable entry gets no new requests and keeps its state") {
   ServerDirectory directory;
   directory.upsert(entry(kFirstStart));
   const auto server = directory.find("a");
@@ -172,14 +172,14 @@
   CHECK(server->isEligible(kNow));
 }
 
-// Any order of entries, reports and removals, told by any way: the directory holds the latest start that it
-// was told, and a life that it left never takes work again.
-TEST_CASE("whatever comes in whatever order, the latest start stands") {
+// Any order of entries, reports and removals: the directory holds the latest start time that it received, and
+// an incarnation that was replaced never becomes eligible again.
+TEST_CASE("the latest start time wins in any order of updates") {
   CHECK(rc::check([] {
     ServerDirectory directory;
     int64_t latest = -1;
-    std::map<int64_t, ServerDirectory::ServerPointer> lives;
-    const auto startOf = [](int64_t number) { return kFirstStart + absl::Seconds(number); };
+    std::map<int64_t, ServerDirectory::ServerPointer> incarnations;
+    const auto startTime = [](int64_t number) { return kFirstStart + absl::Seconds(number); };
     for (int step = 0; step < 40; ++step) {
       const int64_t number = *rc::gen::inRange(0, 8);
       const auto known = directory.find("a");
@@ -189,7 +189,7 @@
           break;
         case 1:
           if (known != nullptr) {
-            directory.noteRestart(*known, startOf(number), {});
+            directory.noteRestart(*known, startTime(number), {});
             latest = std::max(latest, number);
           }
           break;
@@ -197,20 +197,20 @@
           directory.upsert(entry(absl::InfinitePast()));
           break;
         default:
-          directory.upsert(entry(startOf(number)));
+          directory.upsert(entry(startTime(number)));
           latest = std::max(latest, number);
       }
-      const auto now_there = directory.find("a");
-      if (now_there == nullptr) {
+      const auto current = directory.find("a");
+      if (current == nullptr) {
         continue;
       }
-      const absl::Time started = now_there->entry.started;
-      RC_ASSERT(started == absl::InfinitePast() || started == startOf(latest));
-      RC_ASSERT(directory.findByHash(now_there->identity_hash) == now_there);
-      for (const auto& [earlier, life] : lives) {
-        RC_ASSERT(life == now_there || !life->isEligible(kNow));
+      const absl::Time started = current->entry.started;
+      RC_ASSERT(started == absl::InfinitePast() || started == startTime(latest));
+      RC_ASSERT(directory.findByHash(current->identity_hash) == current);
+      for (const auto& [earlier, server] : incarnations) {
+        RC_ASSERT(server == current || !server->isEligible(kNow));
       }
-      lives[now_there->entry.started == absl::InfinitePast() ? -1 : latest] = now_there;
+      incarnations[current->entry.started == absl::InfinitePast() ? -1 : latest] = current;
     }
   }));
 }
--- a/tests/forwarding/weights_register_test.cc
+++ b/tests/forwarding/weights_register_test.cc
@@ -9,7 +9,7 @@
 constexpr absl::Duration kBound = absl::Seconds(8);
 const absl::Time kNamed = absl::UnixEpoch() + absl::Hours(1);
 
-TEST_CASE("a version is required before its bound, and preferred a while earlier") {
+TEST_CASE("a version is required before its bound and preferred some time earlier") {
   WeightsRegister weights(kBound);
   CHECK(weights.note({kModel, WeightsVersion(2)}, kNamed));
   CHECK(weights.required(kModel, kNamed) == WeightsVersion());
@@ -19,8 +19,8 @@
   CHECK(weights.preferred(kModel, before) == WeightsVersion(2));
 }
 
-// Finding F2: a gateway that restarted took its own start for the time of naming.
-TEST_CASE("the earliest time of naming that is learnt counts") {
+// Guards against a restarted gateway that takes its own start for the time when a version was named.
+TEST_CASE("the earliest known time of naming counts") {
   WeightsRegister weights(kBound);
   const absl::Time started = kNamed + absl::Seconds(7);
   weights.note({kModel, WeightsVersion(2)}, started);
@@ -40,7 +40,7 @@
   CHECK(weights.deadlineOf(ModelName("other"), WeightsVersion()) == absl::InfiniteFuture());
 }
 
-TEST_CASE("work on older weights is worth less from a while after a version was named") {
+TEST_CASE("work on older weights loses value some time after a version was named") {
   WeightsRegister weights(absl::Seconds(8));
   const ModelName model("m");
   const absl::Time named = absl::UnixEpoch();
