--- a/src/forwarding/server_directory.cc
+++ b/src/forwarding/server_directory.cc
@@ -13,7 +13,7 @@
 constexpr absl::Duration kFailureHalfLife = absl::Seconds(2);
 constexpr absl::Duration kFirstEjection = absl::Milliseconds(400);
 constexpr absl::Duration kLongestEjection = absl::Seconds(3);
-constexpr absl::Duration kReplacedEjection = absl::Seconds(30);
+constexpr absl::Duration kReassignedEjection = absl::Seconds(30);
 constexpr uint32_t kLargestBackoffStep = 4;
 // Afterwards the digests of peers cover what has changed since the owner's report.
 constexpr absl::Duration kOwnerLoadValidity = absl::Milliseconds(400);
@@ -259,7 +259,7 @@
 }
 
 void ServerDirectory::noteAddressReassigned(Server& server, absl::Time now) {
-  server.ejected_until = now + kReplacedEjection;
+  server.ejected_until = now + kReassignedEjection;
 }
 
 void ServerDirectory::setPeerLoad(const NodeId& peer, const LoadShare& share,
--- a/src/forwarding/server_directory.h
+++ b/src/forwarding/server_directory.h
@@ -46,7 +46,7 @@
   ServerLoad own;
   ServerLoad peers;  // of this node's zone, or of all peers on a small site
   ServerLoad other_zones;
-  // Grows with each failure and decays exponentially.
+  // A penalty that grows with each failure and decays exponentially.
   double failure_score = 0;
   absl::Time failure_scored_at = absl::InfinitePast();
   absl::Time ejected_until = absl::InfinitePast();
--- a/src/forwarding/store_history.cc
+++ b/src/forwarding/store_history.cc
@@ -2,35 +2,35 @@
 
 namespace quincewick::forwarding {
 
-StoreContinuity StoreHistory::note(const StoreObservation& sign) {
-  const bool may_be_earlier = sign.began < continuous_since_;  // than the reversion of the store
-  if (sign.era && sign.era != era_) {
+StoreContinuity StoreHistory::note(const StoreObservation& observation) {
+  const bool may_be_earlier = observation.began < continuous_since_;  // than the reversion of the store
+  if (observation.era && observation.era != era_) {
     const bool is_first = !era_;
-    if (!is_first && may_be_earlier && *sign.era < *era_) {
+    if (!is_first && may_be_earlier && *observation.era < *era_) {
       return StoreContinuity::kOutdated;
     }
-    era_ = sign.era;
-    reset(sign);
+    era_ = observation.era;
+    reset(observation);
     return is_first ? StoreContinuity::kContinuous : StoreContinuity::kReverted;
   }
   if (may_be_earlier) {
     return StoreContinuity::kContinuous;
   }
-  if (!era_ && sign.version < version_ && sign.began >= version_known_) {
-    reset(sign);
+  if (!era_ && observation.version < version_ && observation.began >= version_known_) {
+    reset(observation);
     return StoreContinuity::kReverted;
   }
-  if (sign.version > version_) {
-    version_ = sign.version;
-    version_known_ = sign.ended;
+  if (observation.version > version_) {
+    version_ = observation.version;
+    version_known_ = observation.ended;
   }
   return StoreContinuity::kContinuous;
 }
 
-void StoreHistory::reset(const StoreObservation& sign) {
-  version_ = sign.version;
-  version_known_ = sign.ended;
-  continuous_since_ = sign.ended;
+void StoreHistory::reset(const StoreObservation& observation) {
+  version_ = observation.version;
+  version_known_ = observation.ended;
+  continuous_since_ = observation.ended;
   ++generation_;
 }
 
--- a/src/forwarding/store_history.h
+++ b/src/forwarding/store_history.h
@@ -29,7 +29,7 @@
 class StoreHistory {
  public:
   // Responses may arrive in another order than the store sent them.
-  StoreContinuity note(const StoreObservation& sign);
+  StoreContinuity note(const StoreObservation& observation);
 
   std::optional<uint64_t> era() const { return era_; }
   uint64_t version() const { return version_; }
@@ -40,7 +40,7 @@
   absl::Time continuousSince() const { return continuous_since_; }
 
  private:
-  void reset(const StoreObservation& sign);
+  void reset(const StoreObservation& observation);
 
   std::optional<uint64_t> era_;
   uint64_t version_ = 0;  // the highest of any response since `continuous_since_`
--- a/tests/forwarding/row_cache_test.cc
+++ b/tests/forwarding/row_cache_test.cc
@@ -126,7 +126,7 @@
       }
     };
     // The next delta of the store, which may be applied later.
-    const auto nextDelta = [&] {
+    const auto next_delta = [&] {
       TableUpdate update;
       std::copy_if(log.begin(), log.end(), std::back_inserter(update.rows),
                    [&](const StoreRow& changed) { return changed.version > followed; });
@@ -150,13 +150,13 @@
       changes();
       std::vector<TableUpdate> deltas;
       if (cache.hasSnapshot() && *rc::gen::arbitrary<bool>()) {
-        deltas.push_back(nextDelta());
+        deltas.push_back(next_delta());
       }
       changes();
       page("d", "z", snapshot);
       changes();
       if (cache.hasSnapshot() && *rc::gen::arbitrary<bool>()) {
-        deltas.push_back(nextDelta());
+        deltas.push_back(next_delta());
       }
       const bool is_snapshot_first = *rc::gen::arbitrary<bool>();
       const bool was_filled = cache.hasSnapshot();
@@ -172,7 +172,7 @@
       if (!was_filled) {
         followed = snapshot.version;
       }
-      cache.take(nextDelta());
+      cache.take(next_delta());
       std::map<std::string, std::string> expected;
       for (const auto& [key, kept] : store) {
         expected[key] = kept.value;
--- a/tests/forwarding/server_directory_test.cc
+++ b/tests/forwarding/server_directory_test.cc
@@ -129,16 +129,17 @@
     directory.upsert(entry(id));
   }
   std::mt19937 random(7);
-  const auto identityHash = [&](const std::string& id) { return directory.find(id)->identity_hash; };
+  const auto identity_hash_of = [&](const std::string& id) { return directory.find(id)->identity_hash; };
   const auto choose = [&](const std::vector<uint64_t>& excluded) {
     return chooseServer(directory.ofService(kService), excluded, ZoneName("z"), kNow, random)->entry.id;
   };
   directory.find("a")->own.running = 8;
   ServerDirectory::noteFailure(*directory.find("b"), 4, kNow);
   CHECK(choose({}) == "c");
-  CHECK(choose({identityHash("c"), identityHash("b")}) == "a");
-  CHECK(chooseServer(directory.ofService(kService), {identityHash("a"), identityHash("b"), identityHash("c")},
-                     ZoneName("z"), kNow, random) == nullptr);
+  CHECK(choose({identity_hash_of("c"), identity_hash_of("b")}) == "a");
+  CHECK(chooseServer(directory.ofService(kService),
+                     {identity_hash_of("a"), identity_hash_of("b"), identity_hash_of("c")}, ZoneName("z"),
+                     kNow, random) == nullptr);
 }
 
 TEST_CASE("a rate limit set by a server outlasts its entry and ends with its incarnation") {
--- a/tests/forwarding/server_starts_test.cc
+++ b/tests/forwarding/server_starts_test.cc
@@ -179,7 +179,7 @@
     ServerDirectory directory;
     int64_t latest = -1;
     std::map<int64_t, ServerDirectory::ServerPointer> incarnations;
-    const auto startTime = [](int64_t number) { return kFirstStart + absl::Seconds(number); };
+    const auto start_time_of = [](int64_t number) { return kFirstStart + absl::Seconds(number); };
     for (int step = 0; step < 40; ++step) {
       const int64_t number = *rc::gen::inRange(0, 8);
       const auto known = directory.find("a");
@@ -189,7 +189,7 @@
           break;
         case 1:
           if (known != nullptr) {
-            directory.noteRestart(*known, startTime(number), {});
+            directory.noteRestart(*known, start_time_of(number), {});
             latest = std::max(latest, number);
           }
           break;
@@ -197,7 +197,7 @@
           directory.upsert(entry(absl::InfinitePast()));
           break;
         default:
-          directory.upsert(entry(startTime(number)));
+          directory.upsert(entry(start_time_of(number)));
           latest = std::max(latest, number);
       }
       const auto current = directory.find("a");
@@ -205,7 +205,7 @@
         continue;
       }
       const absl::Time started = current->entry.started;
-      RC_ASSERT(started == absl::InfinitePast() || started == startTime(latest));
+      RC_ASSERT(started == absl::InfinitePast() || started == start_time_of(latest));
       RC_ASSERT(directory.findByHash(current->identity_hash) == current);
       for (const auto& [earlier, server] : incarnations) {
         RC_ASSERT(server == current || !server->isEligible(kNow));
