--- a/bench/prefix/prefix_bench.cc
+++ b/bench/prefix/prefix_bench.cc
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "prefix/block_chain.h"
-#include "prefix/trunk_index.h"
+#include "prefix/prefix_index.h"
 
 namespace quincewick::prefix {
 namespace {
@@ -57,9 +57,9 @@
 void applyEvents(benchmark::State& state) {
   constexpr uint16_t kEngines = 29;
   constexpr size_t kBatch = 64;
-  TrunkIndexSettings settings;
+  PrefixIndexSettings settings;
   settings.maximum_blocks = static_cast<size_t>(state.range(0));
-  TrunkIndex index(settings);
+  PrefixIndex index(settings);
   const std::vector<BlockKey> keys = randomKeys(2 * settings.maximum_blocks);
   std::vector<uint64_t> sequences(kEngines, 0);
   std::mt19937_64 random(3);
@@ -72,7 +72,7 @@
       event = {Sequence(++sequences[engine]), kind, keys[random() % keys.size()]};
     }
     state.ResumeTiming();
-    benchmark::DoNotOptimize(index.apply(EngineSlot{engine}, batch, absl::UnixEpoch()));
+    benchmark::DoNotOptimize(index.apply(EngineNumber{engine}, batch, absl::UnixEpoch()));
     engine = static_cast<uint16_t>((engine + 1) % kEngines);
   }
   state.SetItemsProcessed(state.iterations() * static_cast<int64_t>(kBatch));
@@ -87,16 +87,16 @@
 
 void observePrompt(benchmark::State& state) {
   constexpr size_t kTrunks = 1000;
-  TrunkIndexSettings settings;
+  PrefixIndexSettings settings;
   settings.maximum_blocks = 1 << 16;
-  TrunkIndex index(settings);
+  PrefixIndex index(settings);
   const std::vector<BlockKey> keys = randomKeys(kTrunks * static_cast<size_t>(state.range(0)));
   std::vector<PrefixChain> chains(kTrunks);
   for (size_t trunk = 0; trunk < kTrunks; ++trunk) {
     const auto first = keys.begin() + static_cast<std::ptrdiff_t>(trunk) * state.range(0);
     chains[trunk].block_size = kDefaultBlockSize;
     chains[trunk].blocks.assign(first, first + state.range(0));
-    index.recordHeld(EngineSlot(trunk % 29), chains[trunk], absl::UnixEpoch());
+    index.recordHeld(EngineNumber(trunk % 29), chains[trunk], absl::UnixEpoch());
   }
   size_t next = 0;
   for (auto unused : state) {
--- a/bench/routing/ablation/oracle_policy.cc
+++ b/bench/routing/ablation/oracle_policy.cc
@@ -11,7 +11,7 @@
   const double weight = settings_.recompute_weight[static_cast<size_t>(query.urgency)];
   routing::EngineChoice choice;
   double least = std::numeric_limits<double>::infinity();
-  for (const routing::EngineSlot engine : query.pool.engines) {
+  for (const routing::EngineNumber engine : query.pool.engines) {
     const uint32_t held = held_(engine, prompt);
     const double uncached =
         static_cast<double>(prompt.size()) - static_cast<double>(held) * prompt.block_size;
--- a/bench/routing/ablation/oracle_policy.h
+++ b/bench/routing/ablation/oracle_policy.h
@@ -11,7 +11,7 @@
 namespace quincewick::ablation {
 
 // The leading blocks of the prompt that the engine holds, or will have computed once its queue is done.
-using HeldBlocks = std::function<uint32_t(routing::EngineSlot, const PrefixChain&)>;
+using HeldBlocks = std::function<uint32_t(routing::EngineNumber, const PrefixChain&)>;
 
 class OraclePolicy final : public routing::PlacementPolicy {
  public:
--- a/bench/routing/ablation/simulation.cc
+++ b/bench/routing/ablation/simulation.cc
@@ -148,11 +148,11 @@
     if (!contender_.oracle) {
       return std::make_unique<routing::Router>(contender_.router);
     }
-    const auto held = [this](routing::EngineSlot engine, const PrefixChain& prompt) {
+    const auto held = [this](routing::EngineNumber engine, const PrefixChain& prompt) {
       return heldBlocks(static_cast<size_t>(engine), prompt);
     };
     return std::make_unique<routing::Router>(
-        contender_.router, [this, held](const routing::EngineDirectory& directory, prefix::TrunkIndex&) {
+        contender_.router, [this, held](const routing::EngineDirectory& directory, prefix::PrefixIndex&) {
           return std::make_unique<OraclePolicy>(directory, held, contender_.router.affinity);
         });
   }
--- a/src/engine/engine_channel.h
+++ b/src/engine/engine_channel.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "prefix/trunk_index.h"
+#include "prefix/prefix_index.h"
 #include "streams/answer_events.h"
 #include "types/back_end.h"
 #include "types/block_key.h"
--- a/src/forwarding/engine_placement.cc
+++ b/src/forwarding/engine_placement.cc
@@ -49,11 +49,11 @@
   std::vector<uint64_t> tokens_up_to;  // tokens of the first n + 1 parts
   uint64_t shared_tokens = 0;
   uint64_t all_tokens = 0;
-  prefix::TrunkView view;
+  prefix::PrefixView view;
 
   uint64_t tokensOf(uint32_t parts) const { return parts == 0 ? 0 : tokens_up_to[parts - 1]; }
-  uint64_t keptAt(EngineSlot engine) const {
-    for (const prefix::TrunkView::Holder& holder : view.holders) {
+  uint64_t keptAt(EngineNumber engine) const {
+    for (const prefix::PrefixView::Holder& holder : view.holders) {
       if (holder.engine == engine) {
         return tokensOf(std::min<uint32_t>(holder.certain_blocks, static_cast<uint32_t>(keys.size())));
       }
@@ -82,8 +82,8 @@
   bool has_old_weights = false;  // the request is worth less there
 };
 
-prefix::TrunkIndexSettings EnginePlacement::indexSettings(const EnginePlacementSettings& settings) {
-  prefix::TrunkIndexSettings result;
+prefix::PrefixIndexSettings EnginePlacement::indexSettings(const EnginePlacementSettings& settings) {
+  prefix::PrefixIndexSettings result;
   result.maximum_blocks = settings.index_entries;
   return result;
 }
@@ -127,7 +127,7 @@
   Weighed result;
   const uint64_t kept = chain.keptAt(server->slot);
   uint64_t elsewhere = 0;
-  for (const prefix::TrunkView::Holder& holder : chain.view.holders) {
+  for (const prefix::PrefixView::Holder& holder : chain.view.holders) {
     elsewhere = std::max(elsewhere, chain.tokensOf(std::min<uint32_t>(
                                         holder.certain_blocks, static_cast<uint32_t>(chain.keys.size()))));
   }
@@ -293,7 +293,7 @@
   choice.cached_tokens = chain.keptAt(choice.server->slot);
   choice.is_new_placement = choice.cached_tokens < chain.shared_tokens;
   uint64_t most = choice.cached_tokens;
-  for (const prefix::TrunkView::Holder& holder : chain.view.holders) {
+  for (const prefix::PrefixView::Holder& holder : chain.view.holders) {
     const ServerDirectory::ServerPointer source = directory.bySlot(holder.engine);
     const uint64_t kept = chain.keptAt(holder.engine);
     if (settings_.switches.fetch_from_engines && source != nullptr && source != choice.server &&
@@ -344,7 +344,7 @@
   in_slot_ += (in_slot - in_slot_) * kInSlotSmoothing;
 }
 
-void EnginePlacement::noteKept(EngineSlot engine, const std::vector<BlockKey>& keys, absl::Time now) {
+void EnginePlacement::noteKept(EngineNumber engine, const std::vector<BlockKey>& keys, absl::Time now) {
   PrefixChain chain;
   chain.blocks = keys;
   index_.observe(chain, now);
--- a/src/forwarding/engine_placement.h
+++ b/src/forwarding/engine_placement.h
@@ -16,7 +16,7 @@
 
 #include "forwarding/request_facts.h"
 #include "forwarding/server_directory.h"
-#include "prefix/trunk_index.h"
+#include "prefix/prefix_index.h"
 
 namespace quincewick::forwarding {
 
@@ -129,9 +129,9 @@
   // A stream that declared so many tokens, at most, told of its engine's pauses.
   void notePauses(uint64_t output_tokens);
   // The engine now keeps the parts.
-  void noteKept(EngineSlot engine, const std::vector<BlockKey>& keys, absl::Time now);
+  void noteKept(EngineNumber engine, const std::vector<BlockKey>& keys, absl::Time now);
   // All that was believed of the engine is void: it went, or took new weights.
-  void forget(EngineSlot engine) { index_.reset(engine); }
+  void forget(EngineNumber engine) { index_.reset(engine); }
 
   // The salt under which a request of that model version and isolation is kept.
   static std::string saltOf(WeightsVersion version, const std::string& isolation);
@@ -140,7 +140,7 @@
   // Until something was served. Learnt within the first dozen requests.
   static constexpr absl::Duration kInSlotAtFirst = absl::Seconds(1);
 
-  static prefix::TrunkIndexSettings indexSettings(const EnginePlacementSettings& settings);
+  static prefix::PrefixIndexSettings indexSettings(const EnginePlacementSettings& settings);
   struct Chain;
   struct Weighed;
   struct Circumstances;
@@ -161,7 +161,7 @@
   static const CacheStoreTraits* storeOf(const Chain& chain, const std::vector<CacheStoreTraits>& stores);
 
   EnginePlacementSettings settings_;
-  prefix::TrunkIndex index_;
+  prefix::PrefixIndex index_;
   absl::Duration in_slot_ = kInSlotAtFirst;  // smoothed
   double tokens_of_streams_ = 0;             // of those that told of pauses, smoothed; 0: none did yet
   uint64_t choices_ = 0;
--- a/src/forwarding/event_splitter.cc
+++ b/src/forwarding/event_splitter.cc
@@ -37,7 +37,7 @@
       while (!line.empty() && line.back() == '\r') {
         line.remove_suffix(1);
       }
-      return parseWhole(line);
+      return parseUnsigned(line);
     }
     begin = end + 1;
   }
--- a/src/forwarding/order_lease.cc
+++ b/src/forwarding/order_lease.cc
@@ -68,7 +68,7 @@
   if (separator == std::string::npos) {
     return record;
   }
-  record.era = parseWhole(parts[0].substr(separator + 1));
+  record.era = parseUnsigned(parts[0].substr(separator + 1));
   if (record.era || parts[0].substr(separator) == kNoEra) {
     record.holder = NodeId(parts[0].substr(0, separator));
   }
--- a/src/forwarding/server_directory.cc
+++ b/src/forwarding/server_directory.cc
@@ -209,18 +209,18 @@
   return found == by_service_.end() ? none : found->second;
 }
 
-ServerDirectory::ServerPointer ServerDirectory::bySlot(EngineSlot slot) const {
+ServerDirectory::ServerPointer ServerDirectory::bySlot(EngineNumber slot) const {
   const auto index = static_cast<size_t>(slot);
   return index < by_slot_.size() ? by_slot_[index] : nullptr;
 }
 
-EngineSlot ServerDirectory::takeSlot() {
+EngineNumber ServerDirectory::takeSlot() {
   const auto free = std::find(by_slot_.begin(), by_slot_.end(), nullptr);
   const auto index = static_cast<size_t>(free - by_slot_.begin());
   if (free == by_slot_.end()) {
     by_slot_.emplace_back();
   }
-  return static_cast<EngineSlot>(index);
+  return static_cast<EngineNumber>(index);
 }
 
 bool ServerDirectory::noteVersion(Server& server, const ModelName& model, WeightsVersion version) {
@@ -310,7 +310,7 @@
   }
 }
 
-std::vector<EngineSlot> ServerDirectory::takeFreedSlots() {
+std::vector<EngineNumber> ServerDirectory::takeFreedSlots() {
   return std::exchange(freed_, {});
 }
 
--- a/src/forwarding/server_directory.h
+++ b/src/forwarding/server_directory.h
@@ -20,11 +20,11 @@
 #include "forwarding/back_pressure.h"
 #include "forwarding/engine_capability.h"
 #include "forwarding/server_entry.h"
-#include "prefix/trunk_index.h"
+#include "prefix/prefix_index.h"
 
 namespace quincewick::forwarding {
 
-using prefix::EngineSlot;
+using prefix::EngineNumber;
 
 // Work under way at a server.
 struct ServerLoad {
@@ -34,7 +34,7 @@
 
 struct Server {
   ServerEntry entry;
-  EngineSlot slot{};
+  EngineNumber slot{};
   uint64_t identity_hash = 0;  // of this life, in all that nodes tell each other
   uint64_t home_hash = 0;      // of the id alone: a server that starts again is the home of the same chains
   bool is_listed = true;       // false: this life is over, only work under way keeps it here
@@ -120,7 +120,7 @@
   // By its identity hash; null: there is none.
   ServerPointer findByHash(uint64_t identity_hash) const;
   // Of a slot in use; null: it is free.
-  ServerPointer bySlot(EngineSlot slot) const;
+  ServerPointer bySlot(EngineNumber slot) const;
 
   // The version of a model that the server told itself; versions of one start only rise. Returns whether it
   // is news.
@@ -139,10 +139,10 @@
   void forgetFarLoad(const ZoneName& zone);
 
   // Slots whose servers went since the last call: what is believed of them is void.
-  std::vector<EngineSlot> takeFreedSlots();
+  std::vector<EngineNumber> takeFreedSlots();
 
  private:
-  EngineSlot takeSlot();
+  EngineNumber takeSlot();
   void add(ServerEntry entry);
   bool isOutdated(const ServerEntry& entry) const;
   void rememberStart(const ServerEntry& entry);
@@ -163,7 +163,7 @@
   absl::flat_hash_map<ServiceName, std::vector<ServerPointer>> by_service_;
   absl::flat_hash_map<uint64_t, ServerPointer> by_hash_;
   std::vector<ServerPointer> by_slot_;
-  std::vector<EngineSlot> freed_;
+  std::vector<EngineNumber> freed_;
   absl::flat_hash_map<NodeId, std::vector<PeerLoad>> peer_loads_;
   absl::flat_hash_map<ZoneName, std::vector<PeerLoad>> far_loads_;
 };
--- a/src/gateway/caller_connection.cc
+++ b/src/gateway/caller_connection.cc
@@ -133,7 +133,8 @@
   if (!keeps_open_) {
     fields.push_back({"Connection", "close"});
   }
-  connection_->send(printAnswerHead(status, reason.empty() ? std::string(reasonOf(status)) : reason, fields));
+  connection_->send(
+      printResponseHead(status, reason.empty() ? std::string(reasonOf(status)) : reason, fields));
 }
 
 void CallerConnection::sendBody(std::string_view bytes) {
--- a/src/gateway/core.cc
+++ b/src/gateway/core.cc
@@ -67,7 +67,7 @@
 }
 
 void Core::forgetFreedSlots() {
-  for (const forwarding::EngineSlot slot : directory.takeFreedSlots()) {
+  for (const forwarding::EngineNumber slot : directory.takeFreedSlots()) {
     placement.forget(slot);
   }
 }
--- a/src/gateway/exchange_answer.cc
+++ b/src/gateway/exchange_answer.cc
@@ -48,7 +48,7 @@
   answer_ = head;
   verdict_ = judge(head, facts);
   const std::string* const length = findField(head.fields, "Content-Length");
-  answer_length_ = length == nullptr ? std::nullopt : parseWhole(*length);
+  answer_length_ = length == nullptr ? std::nullopt : parseUnsigned(*length);
   if (facts.weights_version && !facts_.model.empty()) {
     if (ServerDirectory::noteVersion(*server_, facts_.model, *facts.weights_version)) {
       core_.new_versions.push_back({server_->identity_hash, facts_.model, *facts.weights_version});
--- a/src/gateway/gateway_metrics.h
+++ b/src/gateway/gateway_metrics.h
@@ -14,7 +14,7 @@
 
 #include "forwarding/attempt_ledger.h"
 #include "forwarding/site_configuration.h"
-#include "staged_rollout/answer_account.h"
+#include "staged_rollout/response_stats.h"
 
 namespace quincewick::gateway {
 
@@ -36,8 +36,8 @@
   void countRefusedDatagram() { datagrams_refused_->Increment(); }
   void countStoreWentBack() { store_went_back_->Increment(); }
   // A request goes to a side of a rollout, or to the only version there is.
-  void countRolloutRequest(staged_rollout::Side side) {
-    (side == staged_rollout::Side::kTarget ? to_target_ : to_base_)->Increment();
+  void countRolloutRequest(staged_rollout::Variant side) {
+    (side == staged_rollout::Variant::kTarget ? to_target_ : to_base_)->Increment();
   }
   // A server asked something of its callers in an answer, or no longer does.
   void countBackPressure(std::string_view what);
--- a/src/gateway/quota_exchange.cc
+++ b/src/gateway/quota_exchange.cc
@@ -13,7 +13,7 @@
 
 QuotaExchange::QuotaExchange(Core& core, PeerDirectory& directory, PeerExchange& peers,
                              peer::PeerModule module, const quota::LimitTolerance& tolerance,
-                             quota::SharedQuotas::LimitOf limit_of, quota::Unanswered unanswered)
+                             quota::SharedQuotas::LimitOf limit_of, quota::NoOwnerPolicy unanswered)
     : core_(core),
       directory_(directory),
       peers_(peers),
@@ -29,7 +29,7 @@
 void QuotaExchange::beat() {
   const absl::Time now = reactor::steadyNow();
   quotas_.setMembers(directory_.keeperMembers());
-  quotas_.noteBeat(!directory_.peers().empty() && peers_.hearsNobody(now), now);
+  quotas_.onHeartbeat(!directory_.peers().empty() && peers_.hearsNobody(now), now);
   core_.timers.schedule(now + kBeatInterval, [this] { beat(); });
 }
 
--- a/src/gateway/quota_exchange.h
+++ b/src/gateway/quota_exchange.h
@@ -20,7 +20,7 @@
   // `module`: the messages of this kind of limit.
   QuotaExchange(Core& core, PeerDirectory& directory, PeerExchange& peers, peer::PeerModule module,
                 const quota::LimitTolerance& tolerance, quota::SharedQuotas::LimitOf limit_of,
-                quota::Unanswered unanswered = quota::Unanswered::kTakesShare);
+                quota::NoOwnerPolicy unanswered = quota::NoOwnerPolicy::kUseEvenShare);
 
   void start();
 
--- a/src/gateway/rollout_director.cc
+++ b/src/gateway/rollout_director.cc
@@ -10,12 +10,12 @@
 namespace {
 
 using forwarding::ServiceName;
-using staged_rollout::AnswerAccount;
 using staged_rollout::KnownRecord;
+using staged_rollout::ResponseStats;
+using staged_rollout::RolloutInputs;
 using staged_rollout::RolloutNotice;
 using staged_rollout::RolloutRecord;
-using staged_rollout::Side;
-using staged_rollout::Situation;
+using staged_rollout::Variant;
 using staged_rollout::Verdict;
 
 constexpr const char* kLeaseRow = "rollouts";
@@ -30,9 +30,9 @@
 constexpr absl::Duration kAccountLasts = absl::Milliseconds(1600);
 
 // What of the account is new since it was told last; the account is kept.
-AnswerAccount takeNews(AnswerAccount& last, const AnswerAccount& account) {
-  AnswerAccount news;
-  for (const Side side : {Side::kBase, Side::kTarget}) {
+ResponseStats takeNews(ResponseStats& last, const ResponseStats& account) {
+  ResponseStats news;
+  for (const Variant side : {Variant::kBaseline, Variant::kTarget}) {
     for (const auto& [stratum, counts] : account.of(side)) {
       news.of(side)[stratum] = counts.since(last.of(side)[stratum]);
       last.of(side)[stratum] = counts;
@@ -150,8 +150,8 @@
     core_.log.event("rollout_found_bad", now)
         .with("service", service.value())
         .with("target", known.record.target.value())
-        .with("bad_answers", static_cast<int64_t>(judged.verdict.badAnswers()))
-        .with("answers", static_cast<int64_t>(judged.verdict.targetAnswers()));
+        .with("bad_answers", static_cast<int64_t>(judged.verdict.badResponses()))
+        .with("answers", static_cast<int64_t>(judged.verdict.targetResponses()));
     tellAll({known, true});
   } else if (known.record.isRunning()) {
     tellInTurn({known, is_bad});
@@ -160,44 +160,44 @@
     return;
   }
   const auto next =
-      nextRecord(known.record, situationOf(state, judged, now), {core_.settings.bounds.key_revocation});
+      nextTransition(known.record, situationOf(state, judged, now), {core_.settings.bounds.key_revocation});
   if (next) {
     core_.log.event("rollout_step", now)
         .with("service", service.value())
         .with("stage", nameOf(next->record.stage))
         .with("why", next->why)
-        .with("bad_answers", static_cast<int64_t>(judged.verdict.badAnswers()))
-        .with("answers", static_cast<int64_t>(judged.verdict.targetAnswers()));
+        .with("bad_answers", static_cast<int64_t>(judged.verdict.badResponses()))
+        .with("answers", static_cast<int64_t>(judged.verdict.targetResponses()));
     write(next->record, known.row);
   }
 }
 
 void RolloutDirector::writeFirst(const ServiceName& service, State& state) {
   if (!judged_[service].is_write_under_way) {
-    write(staged_rollout::firstRecord(service, *state.gate.base()), 0);
+    write(staged_rollout::initialRecord(service, *state.gate.base()), 0);
   }
 }
 
-Situation RolloutDirector::situationOf(State& state, const Judged& judged, absl::Time now) const {
-  Situation situation;
+RolloutInputs RolloutDirector::situationOf(State& state, const Judged& judged, absl::Time now) const {
+  RolloutInputs situation;
   situation.clock = core_.storeClock(now).value_or(absl::ZeroDuration());
   situation.operators_row = state.operators_row;
   situation.verdict = judged.verdict.verdict();
-  situation.bad_answers = judged.verdict.badAnswers();
+  situation.bad_responses = judged.verdict.badResponses();
   noteConfirmations(state, judged, now, situation);
   return situation;
 }
 
 void RolloutDirector::noteConfirmations(const State& state, const Judged& judged, absl::Time now,
-                                        Situation& situation) const {
+                                        RolloutInputs& situation) const {
   const uint64_t row = state.gate.known()->row;
-  situation.have_heard_confirmed = state.confirmed_row == row;
+  situation.have_reachable_confirmed = state.confirmed_row == row;
   for (const auto& [id, peer] : directory_.peers()) {
     const auto told = judged.told.find(id);
     const bool is_heard = told != judged.told.end() && now - told->second.heard <= kAccountLasts;
     const bool has_confirmed = told != judged.told.end() && told->second.confirmed_row == row;
-    situation.have_heard_confirmed = situation.have_heard_confirmed && (!is_heard || has_confirmed);
-    situation.is_any_silent = situation.is_any_silent || !has_confirmed;
+    situation.have_reachable_confirmed = situation.have_reachable_confirmed && (!is_heard || has_confirmed);
+    situation.is_any_unreachable = situation.is_any_unreachable || !has_confirmed;
   }
 }
 
--- a/src/gateway/rollout_director.h
+++ b/src/gateway/rollout_director.h
@@ -14,7 +14,7 @@
 #include "gateway/peer_directory.h"
 #include "gateway/peer_exchange.h"
 #include "gateway/rollout_exchange.h"
-#include "staged_rollout/rollout_course.h"
+#include "staged_rollout/rollout_state_machine.h"
 #include "staged_rollout/version_verdict.h"
 
 namespace quincewick::gateway {
@@ -32,7 +32,7 @@
     uint64_t life = 0;
     uint64_t confirmed_row = 0;
     absl::Time heard = absl::InfinitePast();
-    staged_rollout::AnswerAccount counts;
+    staged_rollout::ResponseStats counts;
   };
   // What this gateway knows as the decider of one service's rollout; all of it comes again from accounts.
   struct Judged {
@@ -52,9 +52,9 @@
   Judged& judgedOf(const forwarding::ServiceName& service, const State& state);
   void direct(const forwarding::ServiceName& service, State& state, absl::Time now);
   void writeFirst(const forwarding::ServiceName& service, State& state);
-  staged_rollout::Situation situationOf(State& state, const Judged& judged, absl::Time now) const;
+  staged_rollout::RolloutInputs situationOf(State& state, const Judged& judged, absl::Time now) const;
   void noteConfirmations(const State& state, const Judged& judged, absl::Time now,
-                         staged_rollout::Situation& situation) const;
+                         staged_rollout::RolloutInputs& situation) const;
   void write(staged_rollout::RolloutRecord record, uint64_t expected_row);
   void readAgain(const forwarding::ServiceName& service);
   void takeReadAgain(const staged_rollout::KnownRecord& known);
--- a/src/gateway/rollout_exchange.cc
+++ b/src/gateway/rollout_exchange.cc
@@ -16,7 +16,7 @@
 using forwarding::ServiceName;
 using staged_rollout::KnownRecord;
 using staged_rollout::RolloutStage;
-using staged_rollout::Side;
+using staged_rollout::Variant;
 
 constexpr absl::Duration kTick = absl::Milliseconds(100);
 constexpr absl::Duration kTellEvery = absl::Milliseconds(500);
@@ -65,7 +65,7 @@
 }
 
 RolloutExchange::ServiceState& RolloutExchange::stateOf(const ServiceName& service) {
-  return services_.try_emplace(service, staged_rollout::GateSettings{core_.settings.rollout_share})
+  return services_.try_emplace(service, staged_rollout::TrafficSplitterSettings{core_.settings.rollout_share})
       .first->second;
 }
 
@@ -75,7 +75,7 @@
 }
 
 void RolloutExchange::takeOperatorsRow(const forwarding::StoreRow& row) {
-  staged_rollout::OperatorsRow taken;
+  staged_rollout::OperatorRequestRow taken;
   taken.row = row.version;
   taken.is_gone = row.is_gone;
   taken.seen = core_.storeClock(reactor::steadyNow()).value_or(absl::ZeroDuration());
@@ -155,7 +155,7 @@
       .with("base", known.record.base.value())
       .with("target", known.record.target.value())
       .with("share_percent", static_cast<int64_t>(std::lround(known.record.share * 100)))
-      .with("bad_answers", static_cast<int64_t>(known.record.bad_answers))
+      .with("bad_answers", static_cast<int64_t>(known.record.bad_responses))
       .with("fence", static_cast<int64_t>(known.record.fence.value()))
       .with("by", by);
   noteConfirmed(state);
@@ -290,15 +290,15 @@
   if ((!is_target && server.entry.software != record.base) || end == End::kNothing) {
     return;
   }
-  const Side side = is_target ? Side::kTarget : Side::kBase;
+  const Variant side = is_target ? Variant::kTarget : Variant::kBaseline;
   const staged_rollout::Stratum stratum{hashOf(route), was_crowded};
   if (end == End::kAnswered) {
-    state.account.noteAnswer(side, stratum, took);
+    state.account.noteResponse(side, stratum, took);
   } else {
     state.account.noteFailure(side, stratum);
   }
-  if (side == Side::kBase) {
-    state.gate.noteBaseAnswered(hashOf(route));
+  if (side == Variant::kBaseline) {
+    state.gate.noteBaselineResponse(hashOf(route));
   }
 }
 
--- a/src/gateway/rollout_exchange.h
+++ b/src/gateway/rollout_exchange.h
@@ -17,8 +17,8 @@
 #include "gateway/peer_exchange.h"
 #include "gateway/refused_rows.h"
 #include "gateway/rollout_messages.h"
-#include "staged_rollout/rollout_course.h"
-#include "staged_rollout/traffic_gate.h"
+#include "staged_rollout/rollout_state_machine.h"
+#include "staged_rollout/traffic_splitter.h"
 
 namespace quincewick::gateway {
 
@@ -61,11 +61,11 @@
 
   // For the decider.
   struct ServiceState {
-    explicit ServiceState(staged_rollout::GateSettings settings) : gate(settings) {}
+    explicit ServiceState(staged_rollout::TrafficSplitterSettings settings) : gate(settings) {}
 
-    staged_rollout::TrafficGate gate;
-    std::optional<staged_rollout::OperatorsRow> operators_row;
-    staged_rollout::AnswerAccount account;
+    staged_rollout::TrafficSplitter gate;
+    std::optional<staged_rollout::OperatorRequestRow> operators_row;
+    staged_rollout::ResponseStats account;
     uint64_t account_of = 0;  // the operator's row that it is about
     // Attempts under way, by version.
     absl::flat_hash_map<SoftwareVersion, uint32_t> under_way;
--- a/src/gateway/rollout_messages.cc
+++ b/src/gateway/rollout_messages.cc
@@ -7,11 +7,11 @@
 namespace quincewick::gateway {
 namespace {
 
-using staged_rollout::AnswerCounts;
 using staged_rollout::CountsByStratum;
-using staged_rollout::kTimeClasses;
-using staged_rollout::Side;
+using staged_rollout::kLatencyBuckets;
+using staged_rollout::ResponseCounts;
 using staged_rollout::Stratum;
+using staged_rollout::Variant;
 
 constexpr uint8_t kForm = 1;
 constexpr uint32_t kLongestName = 200;
@@ -30,7 +30,7 @@
   template <class Archive>
   void serialize(Archive& archive) {
     archive(time_class, answers);
-    if (time_class >= kTimeClasses) {
+    if (time_class >= kLatencyBuckets) {
       throw cereal::Exception("a class of times that can't be");
     }
   }
@@ -38,18 +38,18 @@
 
 struct StratumCounts {
   Stratum stratum;
-  AnswerCounts counts;
+  ResponseCounts counts;
 
   template <class Archive>
   void serialize(Archive& archive) {
     archive(stratum.route, stratum.is_crowded, counts.answers, counts.failures);
     std::vector<TimeCount> times;
-    for (size_t index = 0; index < kTimeClasses; ++index) {
+    for (size_t index = 0; index < kLatencyBuckets; ++index) {
       if (counts.times[index] > 0) {
         times.push_back({static_cast<uint8_t>(index), counts.times[index]});
       }
     }
-    archiveList(archive, times, kTimeClasses);
+    archiveList(archive, times, kLatencyBuckets);
     for (const TimeCount& time : times) {
       counts.times[time.time_class] = time.answers;
     }
@@ -79,7 +79,7 @@
   counts = countsFrom(list);
 }
 
-size_t bytesOf(const AnswerCounts& counts) {
+size_t bytesOf(const ResponseCounts& counts) {
   const auto classes =
       std::count_if(counts.times.begin(), counts.times.end(), [](uint32_t answers) { return answers > 0; });
   return kStratumBytes + kTimeBytes * static_cast<size_t>(classes);
@@ -136,7 +136,7 @@
   empty.counts = {};
   std::vector<RolloutAccount> parts = {empty};
   size_t room = kRoom;
-  for (const Side side : {Side::kBase, Side::kTarget}) {
+  for (const Variant side : {Variant::kBaseline, Variant::kTarget}) {
     for (const auto& [stratum, counts] : account.counts.of(side)) {
       const size_t bytes = bytesOf(counts);
       if (bytes > room) {
--- a/src/gateway/rollout_messages.h
+++ b/src/gateway/rollout_messages.h
@@ -7,8 +7,8 @@
 #include <string_view>
 #include <vector>
 
-#include "staged_rollout/answer_account.h"
-#include "staged_rollout/traffic_gate.h"
+#include "staged_rollout/response_stats.h"
+#include "staged_rollout/traffic_splitter.h"
 #include "types/error.h"
 
 namespace quincewick::gateway {
@@ -19,7 +19,7 @@
   uint64_t request_row = 0;    // of the rollout that it is about
   uint64_t life = 0;           // differs with each start of the gateway: counts begin anew
   uint64_t confirmed_row = 0;  // nothing of the gateway's runs at the base, nor will, by that record
-  staged_rollout::AnswerAccount counts;
+  staged_rollout::ResponseStats counts;
 };
 
 // One of the two.
--- a/src/gateway/server_rates.cc
+++ b/src/gateway/server_rates.cc
@@ -19,7 +19,7 @@
     : core_(core),
       exchange_(
           core, directory, peers, peer::PeerModule::kServerRates, kTolerance,
-          [](const quota::LimitName&) { return &kSecondsASecond; }, quota::Unanswered::kDenies) {}
+          [](const quota::LimitName&) { return &kSecondsASecond; }, quota::NoOwnerPolicy::kDenyRequest) {}
 
 uint64_t ServerRates::ask(const forwarding::Server& server, Answered answered) {
   RateGrant grant;
--- a/src/gateway/weights_record.cc
+++ b/src/gateway/weights_record.cc
@@ -13,7 +13,7 @@
   if (separator == std::string::npos) {
     return std::nullopt;
   }
-  const std::optional<uint64_t> version = parseWhole(std::string_view(key).substr(separator + 1));
+  const std::optional<uint64_t> version = parseUnsigned(std::string_view(key).substr(separator + 1));
   if (!version) {
     return std::nullopt;
   }
@@ -31,7 +31,7 @@
   }
   for (const forwarding::StoreRow& row : news.rows) {
     const auto weights = parseKey(row.key);
-    const auto named_at = parseWhole(row.value);
+    const auto named_at = parseUnsigned(row.value);
     if (row.is_gone) {
       refused_rows_.forget(row.key);
     } else if (!weights || !named_at) {
--- a/src/prefix/trunk_index.cc
+++ b/src/prefix/prefix_index.cc
@@ -1,4 +1,4 @@
-#include "prefix/trunk_index.h"
+#include "prefix/prefix_index.h"
 
 #include <algorithm>
 #include <cmath>
@@ -9,7 +9,7 @@
 
 constexpr absl::Duration kTick = absl::Milliseconds(100);
 // Entries that the hand looks at to find one to give up.
-constexpr size_t kHandReach = 8;
+constexpr size_t kEvictionCandidates = 8;
 // Doubtful beliefs older than this many gaps are void.
 constexpr uint16_t kDoubtfulEpochs = 256;
 // A gap of more events than this may have hidden anything: earlier beliefs are void.
@@ -22,13 +22,13 @@
   return static_cast<uint16_t>(current - epoch);
 }
 
-bool byEngine(const TrunkView::Holder& left, const TrunkView::Holder& right) {
+bool byEngine(const PrefixView::Holder& left, const PrefixView::Holder& right) {
   return left.engine < right.engine;
 }
 
 }  // namespace
 
-TrunkIndex::TrunkIndex(const TrunkIndexSettings& settings)
+PrefixIndex::PrefixIndex(const PrefixIndexSettings& settings)
     : settings_(settings), numbers_(0, NumberHash{&entries_}, NumberEqual{&entries_}) {
   settings_.maximum_blocks = std::max<size_t>(settings_.maximum_blocks, 1);
   settings_.sampling = std::max<uint32_t>(settings_.sampling, 1);
@@ -36,7 +36,7 @@
   numbers_.reserve(settings_.maximum_blocks);
 }
 
-TrunkIndex::EngineState& TrunkIndex::state(EngineSlot engine) {
+PrefixIndex::EngineState& PrefixIndex::state(EngineNumber engine) {
   const auto position = static_cast<size_t>(engine);
   if (position >= engines_.size()) {
     engines_.resize(position + 1);
@@ -44,7 +44,7 @@
   return engines_[position];
 }
 
-void TrunkIndex::reset(EngineSlot engine) {
+void PrefixIndex::reset(EngineNumber engine) {
   EngineState& known = state(engine);
   ++known.epoch;
   known.certain_since = known.epoch;
@@ -54,7 +54,7 @@
   known.gap_begin.reset();
 }
 
-TrunkIndex::Confidence TrunkIndex::confidence(const Belief& belief) const {
+PrefixIndex::Confidence PrefixIndex::confidence(const Belief& belief) const {
   const auto position = static_cast<size_t>(belief.engine);
   if (position >= engines_.size()) {
     return Confidence::kVoid;
@@ -70,11 +70,11 @@
   return Confidence::kVoid;
 }
 
-uint32_t TrunkIndex::tick(absl::Time now) const {
+uint32_t PrefixIndex::tick(absl::Time now) const {
   return static_cast<uint32_t>(absl::ToUnixMillis(now) / absl::ToInt64Milliseconds(kTick));
 }
 
-float TrunkIndex::countAt(const DecayingCount& count, uint32_t tick) const {
+float PrefixIndex::countAt(const DecayingCount& count, uint32_t tick) const {
   if (tick <= count.counted_at) {
     return count.value;
   }
@@ -83,17 +83,17 @@
   return count.value * std::exp2(-half_lives);
 }
 
-void TrunkIndex::addOne(DecayingCount& count, uint32_t tick) const {
+void PrefixIndex::addOne(DecayingCount& count, uint32_t tick) const {
   count.value = countAt(count, tick) + kOneRequest;
   count.counted_at = tick;
 }
 
-const TrunkIndex::Entry* TrunkIndex::find(const BlockKey& block) const {
+const PrefixIndex::Entry* PrefixIndex::find(const BlockKey& block) const {
   const auto number = numbers_.find(block.low);
   return number == numbers_.end() ? nullptr : &entries_[*number];
 }
 
-TrunkIndex::Entry* TrunkIndex::findOrMake(const BlockKey& block, float requests, absl::Time now) {
+PrefixIndex::Entry* PrefixIndex::findOrInsert(const BlockKey& block, float requests, absl::Time now) {
   if (const auto number = numbers_.find(block.low); number != numbers_.end()) {
     return &entries_[*number];
   }
@@ -107,16 +107,16 @@
   return &entry;
 }
 
-bool TrunkIndex::makeRoom(float newcomer_requests, absl::Time now) {
+bool PrefixIndex::makeRoom(float newcomer_requests, absl::Time now) {
   const uint32_t now_tick = tick(now);
   uint32_t victim = 0;
   float fewest = std::numeric_limits<float>::infinity();
-  for (size_t step = 0; step < std::min(kHandReach, entries_.size()); ++step) {
-    hand_ = (hand_ + 1) % static_cast<uint32_t>(entries_.size());
-    const float requests = countAt(entries_[hand_].requests, now_tick);
+  for (size_t step = 0; step < std::min(kEvictionCandidates, entries_.size()); ++step) {
+    clock_hand_ = (clock_hand_ + 1) % static_cast<uint32_t>(entries_.size());
+    const float requests = countAt(entries_[clock_hand_].requests, now_tick);
     if (requests < fewest) {
       fewest = requests;
-      victim = hand_;
+      victim = clock_hand_;
     }
   }
   if (fewest > newcomer_requests) {
@@ -127,7 +127,7 @@
   return true;
 }
 
-void TrunkIndex::removeEntry(uint32_t number) {
+void PrefixIndex::removeEntry(uint32_t number) {
   const auto last = static_cast<uint32_t>(entries_.size() - 1);
   numbers_.erase(numbers_.find(entries_[number].key));
   if (number != last) {
@@ -138,11 +138,11 @@
   entries_.pop_back();
 }
 
-void TrunkIndex::believe(EngineSlot engine, const BlockKey& block, absl::Time now) {
-  if (!sampled(block)) {
+void PrefixIndex::addBelief(EngineNumber engine, const BlockKey& block, absl::Time now) {
+  if (!isSampled(block)) {
     return;
   }
-  Entry* entry = findOrMake(block, kNoRequest, now);
+  Entry* entry = findOrInsert(block, kNoRequest, now);
   if (entry == nullptr) {
     return;
   }
@@ -159,7 +159,7 @@
   entry->beliefs.push_back(belief);
 }
 
-void TrunkIndex::disbelieve(EngineSlot engine, const BlockKey& block) {
+void PrefixIndex::removeBelief(EngineNumber engine, const BlockKey& block) {
   const auto number = numbers_.find(block.low);
   if (number == numbers_.end()) {
     return;
@@ -172,7 +172,7 @@
   }
 }
 
-void TrunkIndex::noteGap(EngineState& engine, uint64_t sequence) {
+void PrefixIndex::noteGap(EngineState& engine, uint64_t sequence) {
   ++counters_.gaps;
   ++engine.epoch;
   engine.certain_since = engine.epoch;
@@ -186,7 +186,7 @@
 }
 
 // All events up to the gap's end have been applied in order.
-void TrunkIndex::fillGap(EngineState& engine) {
+void PrefixIndex::fillGap(EngineState& engine) {
   engine.gap_begin.reset();
   const bool settled_is_older =
       ageOf(engine.epoch, engine.settled_since) > ageOf(engine.epoch, engine.valid_since);
@@ -194,12 +194,12 @@
 }
 
 // The missing events won't come: what they hid stays doubtful.
-void TrunkIndex::abandonGap(EngineState& engine) {
+void PrefixIndex::abandonGap(EngineState& engine) {
   engine.gap_begin.reset();
   engine.settled_since = engine.certain_since;
 }
 
-bool TrunkIndex::apply(EngineSlot engine, absl::Span<const CacheEvent> events, absl::Time now) {
+bool PrefixIndex::apply(EngineNumber engine, absl::Span<const CacheEvent> events, absl::Time now) {
   if (events.empty()) {
     return false;
   }
@@ -218,7 +218,7 @@
   return missing;
 }
 
-bool TrunkIndex::applyOne(EngineSlot engine, const CacheEvent& event, absl::Time now) {
+bool PrefixIndex::applyOne(EngineNumber engine, const CacheEvent& event, absl::Time now) {
   EngineState& known = state(engine);
   const uint64_t sequence = event.sequence.value();
   if (sequence < known.next_sequence) {
@@ -237,9 +237,9 @@
   known.next_sequence = sequence + 1;
   ++counters_.events;
   if (event.kind == CacheEventKind::kStored) {
-    believe(engine, event.block, now);
+    addBelief(engine, event.block, now);
   } else {
-    disbelieve(engine, event.block);
+    removeBelief(engine, event.block);
   }
   if (known.gap_begin.has_value() && !missing && sequence + 1 == known.gap_end) {
     fillGap(known);
@@ -247,7 +247,7 @@
   return missing;
 }
 
-Sequence TrunkIndex::resumeAfter(EngineSlot engine) const {
+Sequence PrefixIndex::resumeAfter(EngineNumber engine) const {
   const auto position = static_cast<size_t>(engine);
   if (position >= engines_.size()) {
     return Sequence(0);
@@ -256,21 +256,21 @@
   return Sequence(known.gap_begin.value_or(known.next_sequence) - 1);
 }
 
-void TrunkIndex::recordHeld(EngineSlot engine, const PrefixChain& chain, absl::Time now) {
+void PrefixIndex::recordHeld(EngineNumber engine, const PrefixChain& chain, absl::Time now) {
   for (const BlockKey& block : chain.blocks) {
-    believe(engine, block, now);
+    addBelief(engine, block, now);
   }
 }
 
-void TrunkIndex::recordLost(EngineSlot engine, const PrefixChain& chain, size_t first_block) {
+void PrefixIndex::recordLost(EngineNumber engine, const PrefixChain& chain, size_t first_block) {
   for (size_t block = first_block; block < chain.blocks.size(); ++block) {
-    disbelieve(engine, chain.blocks[block]);
+    removeBelief(engine, chain.blocks[block]);
   }
 }
 
 // `known_blocks`: the run that a holder must have so far to be taken further; 0 at the first known block.
-void TrunkIndex::mergeBeliefs(const Entry& entry, uint32_t known_blocks, uint32_t depth,
-                              TrunkView& result) const {
+void PrefixIndex::mergeBeliefs(const Entry& entry, uint32_t known_blocks, uint32_t depth,
+                               PrefixView& result) const {
   for (const Belief& belief : entry.beliefs) {
     const Confidence confidence_now = confidence(belief);
     if (confidence_now == Confidence::kVoid) {
@@ -291,16 +291,16 @@
   }
 }
 
-TrunkView TrunkIndex::emptyView(const PrefixChain& chain, uint32_t now_tick) const {
-  TrunkView result;
+PrefixView PrefixIndex::emptyView(const PrefixChain& chain, uint32_t now_tick) const {
+  PrefixView result;
   result.requests.reserve(chain.blocks.size());
   result.all_requests = countAt(all_requests_, now_tick);
   return result;
 }
 
 // Adds what is known of the block at `depth`; `entry` is null where nothing is. Returns the new known run.
-uint32_t TrunkIndex::addBlock(const Entry* entry, uint32_t depth, uint32_t known_blocks, uint32_t now_tick,
-                              TrunkView& result) const {
+uint32_t PrefixIndex::addBlock(const Entry* entry, uint32_t depth, uint32_t known_blocks, uint32_t now_tick,
+                               PrefixView& result) const {
   if (entry == nullptr) {
     result.requests.push_back(kNoRequest);
     return known_blocks;
@@ -310,13 +310,13 @@
   return depth + 1;
 }
 
-TrunkView TrunkIndex::view(const PrefixChain& chain, absl::Time now) const {
+PrefixView PrefixIndex::view(const PrefixChain& chain, absl::Time now) const {
   const uint32_t now_tick = tick(now);
-  TrunkView result = emptyView(chain, now_tick);
+  PrefixView result = emptyView(chain, now_tick);
   uint32_t known_blocks = 0;
   for (uint32_t depth = 0; depth < chain.blocks.size(); ++depth) {
     const BlockKey& block = chain.blocks[depth];
-    if (sampled(block)) {
+    if (isSampled(block)) {
       known_blocks = addBlock(find(block), depth, known_blocks, now_tick, result);
     } else {
       result.requests.push_back(result.requests.empty() ? kNoRequest : result.requests.back());
@@ -326,19 +326,19 @@
   return result;
 }
 
-TrunkView TrunkIndex::observe(const PrefixChain& chain, absl::Time now) {
+PrefixView PrefixIndex::observe(const PrefixChain& chain, absl::Time now) {
   const uint32_t now_tick = tick(now);
-  TrunkView result = emptyView(chain, now_tick);
+  PrefixView result = emptyView(chain, now_tick);
   addOne(all_requests_, now_tick);
   uint32_t known_blocks = 0;
   for (uint32_t depth = 0; depth < chain.blocks.size(); ++depth) {
     const BlockKey& block = chain.blocks[depth];
-    if (!sampled(block)) {
+    if (!isSampled(block)) {
       result.requests.push_back(result.requests.empty() ? kNoRequest : result.requests.back());
       continue;
     }
     known_blocks = addBlock(find(block), depth, known_blocks, now_tick, result);
-    if (Entry* entry = findOrMake(block, kOneRequest, now)) {
+    if (Entry* entry = findOrInsert(block, kOneRequest, now)) {
       addOne(entry->requests, now_tick);
     }
   }
@@ -346,7 +346,7 @@
   return result;
 }
 
-size_t TrunkIndex::memoryBytes() const {
+size_t PrefixIndex::memoryBytes() const {
   size_t bytes = entries_.capacity() * sizeof(Entry) + numbers_.capacity() * (sizeof(uint32_t) + 1) +
                  engines_.capacity() * sizeof(EngineState);
   for (const Entry& entry : entries_) {
--- a/src/prefix/trunk_index.h
+++ b/src/prefix/prefix_index.h
@@ -28,7 +28,7 @@
 namespace quincewick::prefix {
 
 // A small number that stands for an engine; given by the engine directory, used again after removal.
-enum class EngineSlot : uint16_t {};
+enum class EngineNumber : uint16_t {};
 
 enum class CacheEventKind : uint8_t { kStored, kEvicted };
 
@@ -39,16 +39,16 @@
   BlockKey block;
 };
 
-struct TrunkIndexSettings {
+struct PrefixIndexSettings {
   size_t maximum_blocks = 65536;
   uint32_t sampling = 1;                         // keeps one block in this many; at least 1
   absl::Duration half_life = absl::Seconds(20);  // of request counts
 };
 
 // What the index knows of one prompt.
-struct TrunkView {
+struct PrefixView {
   struct Holder {
-    EngineSlot engine{};
+    EngineNumber engine{};
     uint32_t certain_blocks = 0;   // leading blocks believed to be held
     uint32_t possible_blocks = 0;  // the same, counting doubtful beliefs; at least certain_blocks
   };
@@ -58,7 +58,7 @@
 };
 
 // Counts for metrics.
-struct TrunkIndexCounters {
+struct PrefixIndexCounters {
   uint64_t events = 0;
   uint64_t duplicate_events = 0;
   uint64_t gaps = 0;
@@ -66,37 +66,37 @@
   uint64_t refused_blocks = 0;  // newcomers that found no room
 };
 
-class TrunkIndex {
+class PrefixIndex {
  public:
-  explicit TrunkIndex(const TrunkIndexSettings& settings);
-  TrunkIndex(const TrunkIndex&) = delete;
-  TrunkIndex& operator=(const TrunkIndex&) = delete;
+  explicit PrefixIndex(const PrefixIndexSettings& settings);
+  PrefixIndex(const PrefixIndex&) = delete;
+  PrefixIndex& operator=(const PrefixIndex&) = delete;
 
   // Voids everything believed of the engine; its events start over from sequence 1.
-  void reset(EngineSlot engine);
+  void reset(EngineNumber engine);
 
   // Takes cache events in the order of their sequences. Known ones are skipped. Returns true where events are
   // missing: the caller should read again from `resumeAfter`. A gap is reported once; if reading again does
   // not fill it, what it hid stays doubtful.
-  bool apply(EngineSlot engine, absl::Span<const CacheEvent> events, absl::Time now);
+  bool apply(EngineNumber engine, absl::Span<const CacheEvent> events, absl::Time now);
 
   // The sequence after which events should be read next.
-  Sequence resumeAfter(EngineSlot engine) const;
+  Sequence resumeAfter(EngineNumber engine) const;
 
   // The engine holds, or will soon hold, all blocks of the chain.
-  void recordHeld(EngineSlot engine, const PrefixChain& chain, absl::Time now);
+  void recordHeld(EngineNumber engine, const PrefixChain& chain, absl::Time now);
 
   // The engine did not come to hold the chain's blocks from `first_block` on, though recordHeld said so.
-  void recordLost(EngineSlot engine, const PrefixChain& chain, size_t first_block);
+  void recordLost(EngineNumber engine, const PrefixChain& chain, size_t first_block);
 
   // Counts a request through the chain's blocks, and returns what is known of them.
-  TrunkView observe(const PrefixChain& chain, absl::Time now);
+  PrefixView observe(const PrefixChain& chain, absl::Time now);
 
   // As `observe`, without counting.
-  TrunkView view(const PrefixChain& chain, absl::Time now) const;
+  PrefixView view(const PrefixChain& chain, absl::Time now) const;
 
   size_t size() const { return entries_.size(); }
-  const TrunkIndexCounters& counters() const { return counters_; }
+  const PrefixIndexCounters& counters() const { return counters_; }
   // Bytes held now, without what the allocator adds.
   size_t memoryBytes() const;
 
@@ -109,7 +109,7 @@
 
   // An engine and the epoch of its state in which it was believed to hold the block.
   struct Belief {
-    EngineSlot engine{};
+    EngineNumber engine{};
     uint16_t epoch = 0;
   };
   static constexpr size_t kInlineBeliefs = 4;
@@ -148,34 +148,34 @@
     bool operator()(uint64_t key, uint32_t number) const { return (*entries)[number].key == key; }
   };
 
-  bool sampled(const BlockKey& block) const { return block.high % settings_.sampling == 0; }
-  EngineState& state(EngineSlot engine);
+  bool isSampled(const BlockKey& block) const { return block.high % settings_.sampling == 0; }
+  EngineState& state(EngineNumber engine);
   Confidence confidence(const Belief& belief) const;
   const Entry* find(const BlockKey& block) const;
-  Entry* findOrMake(const BlockKey& block, float requests, absl::Time now);
+  Entry* findOrInsert(const BlockKey& block, float requests, absl::Time now);
   bool makeRoom(float newcomer_requests, absl::Time now);
   void removeEntry(uint32_t number);
-  void believe(EngineSlot engine, const BlockKey& block, absl::Time now);
-  void disbelieve(EngineSlot engine, const BlockKey& block);
-  bool applyOne(EngineSlot engine, const CacheEvent& event, absl::Time now);
+  void addBelief(EngineNumber engine, const BlockKey& block, absl::Time now);
+  void removeBelief(EngineNumber engine, const BlockKey& block);
+  bool applyOne(EngineNumber engine, const CacheEvent& event, absl::Time now);
   void noteGap(EngineState& engine, uint64_t sequence);
   static void fillGap(EngineState& engine);
   static void abandonGap(EngineState& engine);
-  TrunkView emptyView(const PrefixChain& chain, uint32_t now_tick) const;
+  PrefixView emptyView(const PrefixChain& chain, uint32_t now_tick) const;
   uint32_t addBlock(const Entry* entry, uint32_t depth, uint32_t known_blocks, uint32_t now_tick,
-                    TrunkView& result) const;
-  void mergeBeliefs(const Entry& entry, uint32_t known_blocks, uint32_t depth, TrunkView& result) const;
+                    PrefixView& result) const;
+  void mergeBeliefs(const Entry& entry, uint32_t known_blocks, uint32_t depth, PrefixView& result) const;
   uint32_t tick(absl::Time now) const;
   float countAt(const DecayingCount& count, uint32_t tick) const;
   void addOne(DecayingCount& count, uint32_t tick) const;
 
-  TrunkIndexSettings settings_;
+  PrefixIndexSettings settings_;
   std::vector<Entry> entries_;
   absl::flat_hash_set<uint32_t, NumberHash, NumberEqual> numbers_;
   std::vector<EngineState> engines_;
   DecayingCount all_requests_;
-  uint32_t hand_ = 0;
-  TrunkIndexCounters counters_;
+  uint32_t clock_hand_ = 0;
+  PrefixIndexCounters counters_;
 };
 
 }  // namespace quincewick::prefix
--- a/src/quota/quota_account.cc
+++ b/src/quota/quota_account.cc
@@ -6,44 +6,44 @@
 namespace {
 
 // Of the tolerance: the bucket's room beyond the burst, and what a keeper begins with.
-constexpr double kRoomPart = 0.5;
-constexpr double kBeginningPart = 0.125;
+constexpr double kHeadroomFraction = 0.5;
+constexpr double kInitialFraction = 0.125;
 // After so long without a question another keeper may have been asked.
-constexpr absl::Duration kGap = absl::Seconds(1);
+constexpr absl::Duration kOwnershipGap = absl::Seconds(1);
 
-double beginning(double tolerance, const KeeperRights& rights) {
-  return kBeginningPart * tolerance * rights.beginning;
+double initialBalance(double tolerance, const OwnerAllowance& allowance) {
+  return kInitialFraction * tolerance * allowance.initial_fraction;
 }
 
 }  // namespace
 
-void QuotaAccount::accrue(const RateLimit& limit, const LimitTolerance& tolerance, const KeeperRights& rights,
-                          absl::Time now) {
-  const double spare = tolerance.amountFor(limit);
-  const double room = limit.burst + kRoomPart * spare;
-  const bool is_new = last_asked_ == absl::InfinitePast();
-  const absl::Duration passed = is_new ? kGap : now - last_asked_;
-  const double earned = limit.per_second * rights.part * absl::ToDoubleSeconds(passed);
-  balance_ = is_new ? room : std::min(balance_ + earned, room);
-  promised_ = std::max(promised_ - earned, 0.0);
-  const bool others_were_asked = !rights.is_first && passed >= kGap;
-  if (others_were_asked || !rights.may_save) {
-    balance_ = std::min(balance_, beginning(spare, rights));
+void QuotaAccount::accrue(const RateLimit& limit, const LimitTolerance& tolerance,
+                          const OwnerAllowance& allowance, absl::Time now) {
+  const double tolerance_amount = tolerance.amountFor(limit);
+  const double capacity = limit.burst + kHeadroomFraction * tolerance_amount;
+  const bool is_new = last_request_ == absl::InfinitePast();
+  const absl::Duration passed = is_new ? kOwnershipGap : now - last_request_;
+  const double earned = limit.per_second * allowance.rate_fraction * absl::ToDoubleSeconds(passed);
+  balance_ = is_new ? capacity : std::min(balance_ + earned, capacity);
+  deferred_ = std::max(deferred_ - earned, 0.0);
+  const bool others_were_asked = !allowance.is_first_in_rank && passed >= kOwnershipGap;
+  if (others_were_asked || !allowance.may_accumulate) {
+    balance_ = std::min(balance_, initialBalance(tolerance_amount, allowance));
   }
-  last_asked_ = now;
+  last_request_ = now;
 }
 
-QuotaVerdict QuotaAccount::take(double cost, const RateLimit& limit, const LimitTolerance& tolerance,
-                                const KeeperRights& rights, absl::Time now) {
-  const double rate = limit.per_second * rights.part;
-  accrue(limit, tolerance, rights, now);
-  const double needed = std::min(cost, beginning(tolerance.amountFor(limit), rights));
+QuotaVerdict QuotaAccount::tryConsume(double cost, const RateLimit& limit, const LimitTolerance& tolerance,
+                                      const OwnerAllowance& allowance, absl::Time now) {
+  const double rate = limit.per_second * allowance.rate_fraction;
+  accrue(limit, tolerance, allowance, now);
+  const double needed = std::min(cost, initialBalance(tolerance.amountFor(limit), allowance));
   if (balance_ >= needed) {
     balance_ -= cost;
     return {true, absl::ZeroDuration()};
   }
-  const double missing = needed - balance_ + promised_;
-  promised_ += cost;
+  const double missing = needed - balance_ + deferred_;
+  deferred_ += cost;
   return {false, absl::Seconds(missing / rate)};
 }
 
--- a/src/quota/quota_account.h
+++ b/src/quota/quota_account.h
@@ -18,33 +18,34 @@
 };
 
 // What a keeper may give out.
-struct KeeperRights {
-  double part = 1;       // of the limit's rate
-  bool may_save = true;  // for bursts; false: another kept the books of late, and may have given the same out
-  bool is_first = true;  // in rank: where nobody asked this one, nobody asked at all
-  double beginning = 1;  // of what a keeper that follows another begins with
-
-  static KeeperRights full() { return {}; }
+struct OwnerAllowance {
+  double rate_fraction = 1;  // of the limit's rate
+  bool may_accumulate =
+      true;  // for bursts; false: another kept the books of late, and may have given the same out
+  bool is_first_in_rank = true;  // in rank: where nobody asked this one, nobody asked at all
+  double initial_fraction = 1;   // of what a keeper that follows another begins with
+
+  static OwnerAllowance full() { return {}; }
 };
 
 class QuotaAccount {
  public:
   // Takes `cost`, or nothing. More than can be saved up may be taken on credit from a bucket that holds what
   // a new keeper begins with.
-  QuotaVerdict take(double cost, const RateLimit& limit, const LimitTolerance& tolerance,
-                    const KeeperRights& rights, absl::Time now);
+  QuotaVerdict tryConsume(double cost, const RateLimit& limit, const LimitTolerance& tolerance,
+                          const OwnerAllowance& allowance, absl::Time now);
   // Puts back what was taken for a request that never ran.
-  void putBack(double cost) { balance_ += cost; }
+  void refund(double cost) { balance_ += cost; }
 
-  absl::Time lastAsked() const { return last_asked_; }
+  absl::Time lastRequest() const { return last_request_; }
 
  private:
-  void accrue(const RateLimit& limit, const LimitTolerance& tolerance, const KeeperRights& rights,
+  void accrue(const RateLimit& limit, const LimitTolerance& tolerance, const OwnerAllowance& allowance,
               absl::Time now);
 
   double balance_ = 0;   // negative: owed
-  double promised_ = 0;  // to those that were told when to come back, and may not have come yet
-  absl::Time last_asked_ = absl::InfinitePast();
+  double deferred_ = 0;  // to those that were told when to come back, and may not have come yet
+  absl::Time last_request_ = absl::InfinitePast();
 };
 
 }  // namespace quincewick::quota
--- a/src/quota/quota_messages.cc
+++ b/src/quota/quota_messages.cc
@@ -8,8 +8,8 @@
 namespace quincewick::quota {
 namespace {
 
-constexpr uint32_t kMaximumName = 256;
-constexpr int64_t kLongestRetryMilliseconds = 3'600'000;
+constexpr uint32_t kMaxNameBytes = 256;
+constexpr int64_t kMaxRetryAfterMs = 3'600'000;
 
 }  // namespace
 
@@ -18,10 +18,10 @@
   auto kind = static_cast<uint8_t>(message.kind);
   std::string name = message.name.value();
   auto retry = static_cast<uint32_t>(
-      std::clamp<int64_t>(absl::ToInt64Milliseconds(message.retry_after), 0, kLongestRetryMilliseconds));
+      std::clamp<int64_t>(absl::ToInt64Milliseconds(message.retry_after), 0, kMaxRetryAfterMs));
   archive(kind, message.number);
-  archiveText(archive, name, kMaximumName);
-  archive(message.cost, message.is_first, retry);
+  archiveText(archive, name, kMaxNameBytes);
+  archive(message.cost, message.is_first_candidate, retry);
   message.kind = static_cast<QuotaMessageKind>(kind);
   message.name = LimitName(std::move(name));
   message.retry_after = absl::Milliseconds(retry);
@@ -37,8 +37,7 @@
     return decoded;
   }
   const QuotaMessage& message = decoded.value();
-  const bool is_known =
-      message.kind >= QuotaMessageKind::kAsk && message.kind <= QuotaMessageKind::kElsewhere;
+  const bool is_known = message.kind >= QuotaMessageKind::kAsk && message.kind <= QuotaMessageKind::kNotOwner;
   if (!is_known || !std::isfinite(message.cost) || message.cost < 0) {
     return fail(ErrorCode::kInvalidArgument, "a message about a limit of no known kind or without a cost");
   }
--- a/src/quota/quota_messages.h
+++ b/src/quota/quota_messages.h
@@ -14,19 +14,19 @@
 namespace quincewick::quota {
 
 enum class QuotaMessageKind : uint8_t {
-  kAsk = 1,        // may a request of that cost start?
-  kGrant = 2,      // yes
-  kDeny = 3,       // no, come back after `retry_after`
-  kGiveBack = 4,   // what was granted never ran
-  kElsewhere = 5,  // another one, which ranks before this one, lives and keeps the books
+  kAsk = 1,       // may a request of that cost start?
+  kGrant = 2,     // yes
+  kDeny = 3,      // no, come back after `retry_after`
+  kGiveBack = 4,  // what was granted never ran
+  kNotOwner = 5,  // another one, which ranks before this one, lives and keeps the books
 };
 
 struct QuotaMessage {
   QuotaMessageKind kind = QuotaMessageKind::kAsk;
   uint64_t number = 0;  // of the asker; its answer bears the same
   LimitName name;
-  double cost = 0;       // in the limit's unit, as the asker's configuration has it; 0: are you there?
-  bool is_first = true;  // of a question: no other gateway was asked for the same request
+  double cost = 0;  // in the limit's unit, as the asker's configuration has it; 0: are you there?
+  bool is_first_candidate = true;  // of a question: no other gateway was asked for the same request
   absl::Duration retry_after;
 };
 
--- a/src/quota/shared_quotas.cc
+++ b/src/quota/shared_quotas.cc
@@ -7,77 +7,81 @@
 namespace quincewick::quota {
 namespace {
 
-constexpr size_t kAskedAtMost = 3;  // gateways for one request
+constexpr size_t kMaxCandidates = 3;  // gateways for one request
 constexpr absl::Duration kProbeInterval = absl::Milliseconds(100);
 // What all gateways together give out while they take another for the keeper, of the overshoot that is
 // allowed.
-constexpr double kStandInPart = 0.5;
-constexpr absl::Duration kLongestPause = absl::Seconds(1);  // between beats of a process that runs
-constexpr size_t kAccountsAtMost = 4096;
-constexpr absl::Duration kDeniedFor = absl::Milliseconds(250);  // where no keeper answered
+constexpr double kStandInFraction = 0.5;
+constexpr absl::Duration kMaxHeartbeatGap = absl::Seconds(1);  // between beats of a process that runs
+constexpr size_t kMaxAccounts = 4096;
+constexpr absl::Duration kNoOwnerRetryAfter = absl::Milliseconds(250);  // where no keeper answered
 
 }  // namespace
 
-void SharedQuotas::noteBeat(bool is_alone, absl::Time now) {
-  const bool was_away = is_alone || now - last_beat_ > kLongestPause;  // at its start, too
-  if (was_away) {
-    was_away_until_ = now + tolerance_.window;
+void SharedQuotas::onHeartbeat(bool is_isolated, absl::Time now) {
+  const bool was_disconnected = is_isolated || now - last_heartbeat_ > kMaxHeartbeatGap;  // at its start, too
+  if (was_disconnected) {
+    rejoining_until_ = now + tolerance_.window;
   }
-  is_alone_ = is_alone;
-  last_beat_ = now;
+  is_isolated_ = is_isolated;
+  last_heartbeat_ = now;
 }
 
 uint64_t SharedQuotas::ask(const LimitName& name, double cost, absl::Time now, QuotaActions& actions) {
   const uint64_t number = ++last_number_;
-  askNext(number, questions_[number] = {name, cost, false, {}, now}, now, actions);
+  tryNextOwner(number, pending_[number] = {name, cost, false, {}, now}, now, actions);
   return number;
 }
 
-void SharedQuotas::askNext(uint64_t number, Question& question, absl::Time now, QuotaActions& actions) {
-  const LimitName name = question.name;
-  const double cost = question.cost;
-  if (!is_alone_ && question.asked.size() < kAskedAtMost) {
+void SharedQuotas::tryNextOwner(uint64_t number, PendingRequest& request, absl::Time now,
+                                QuotaActions& actions) {
+  const LimitName name = request.name;
+  const double cost = request.cost;
+  if (!is_isolated_ && request.tried.size() < kMaxCandidates) {
     for (const NodeId& candidate : ranks_.candidates(name.value())) {
-      if (std::find(question.asked.begin(), question.asked.end(), candidate) != question.asked.end()) {
+      if (std::find(request.tried.begin(), request.tried.end(), candidate) != request.tried.end()) {
         continue;
       }
       if (candidate == self_) {
-        questions_.erase(number);
-        actions.decisions.push_back({number, decideAsKeeper(name, cost, now, actions), self_});
+        pending_.erase(number);
+        actions.decisions.push_back({number, decideAsOwner(name, cost, now, actions), self_});
         return;
       }
-      const bool is_first = question.asked.empty();
-      question.asked.push_back(candidate);
-      question.give_up = now + kAnswerTime;
-      actions.messages.push_back({candidate, {QuotaMessageKind::kAsk, number, name, cost, is_first, {}}});
+      const bool is_first_candidate = request.tried.empty();
+      request.tried.push_back(candidate);
+      request.deadline = now + kResponseTimeout;
+      actions.messages.push_back(
+          {candidate, {QuotaMessageKind::kAsk, number, name, cost, is_first_candidate, {}}});
       return;
     }
   }
-  questions_.erase(number);
-  const bool is_denied = !is_alone_ && unanswered_ == Unanswered::kDenies;
+  pending_.erase(number);
+  const bool is_denied = !is_isolated_ && no_owner_policy_ == NoOwnerPolicy::kDenyRequest;
   actions.decisions.push_back(
-      {number, is_denied ? QuotaVerdict{false, kDeniedFor} : decideByOwnShare(name, cost, now), NodeId()});
+      {number, is_denied ? QuotaVerdict{false, kNoOwnerRetryAfter} : decideByEvenShare(name, cost, now),
+       NodeId()});
 }
 
-QuotaVerdict SharedQuotas::decideAsKeeper(const LimitName& name, double cost, absl::Time now,
-                                          QuotaActions& actions) {
+QuotaVerdict SharedQuotas::decideAsOwner(const LimitName& name, double cost, absl::Time now,
+                                         QuotaActions& actions) {
   const RateLimit* const limit = limit_of_(name);
   if (limit == nullptr) {
     return {true, absl::ZeroDuration()};
   }
-  const bool is_keeper = isKeeper(name);
+  const bool is_owner = isOwner(name);
   const std::vector<NodeId> before = ranks_.before(name.value(), self_);
   probe(before, name, now, actions);
   // Where some can't reach the keeper and others not the next one either, several stand in at the same time:
   // by its rank each has half of what the one before it has, so that together they keep to one's part.
   const double share = std::exp2(-static_cast<double>(before.size()));
-  const KeeperRights rights = {is_keeper ? 1 : tolerance_.overshoot * kStandInPart * share,
-                               is_keeper && now >= was_away_until_, before.empty(), is_keeper ? 1 : share};
+  const OwnerAllowance allowance = {is_owner ? 1 : tolerance_.overshoot * kStandInFraction * share,
+                                    is_owner && now >= rejoining_until_, before.empty(),
+                                    is_owner ? 1 : share};
   forgetIdleAccounts(now);
-  return kept_[name].take(cost, *limit, tolerance_, rights, now);
+  return owned_accounts_[name].tryConsume(cost, *limit, tolerance_, allowance, now);
 }
 
-QuotaVerdict SharedQuotas::decideByOwnShare(const LimitName& name, double cost, absl::Time now) {
+QuotaVerdict SharedQuotas::decideByEvenShare(const LimitName& name, double cost, absl::Time now) {
   const RateLimit* const limit = limit_of_(name);
   if (limit == nullptr) {
     return {true, absl::ZeroDuration()};
@@ -88,10 +92,10 @@
   own.burst *= share;
   LimitTolerance tolerance = tolerance_;
   tolerance.slack *= share;
-  return own_shares_[name].take(cost, own, tolerance, KeeperRights::full(), now);
+  return even_share_accounts_[name].tryConsume(cost, own, tolerance, OwnerAllowance::full(), now);
 }
 
-bool SharedQuotas::isKeeper(const LimitName& name) {
+bool SharedQuotas::isOwner(const LimitName& name) {
   const std::vector<NodeId> candidates = ranks_.candidates(name.value());
   return candidates.empty() || candidates.front() == self_;
 }
@@ -100,24 +104,24 @@
 void SharedQuotas::probe(const std::vector<NodeId>& nodes, const LimitName& name, absl::Time now,
                          QuotaActions& actions) {
   for (const NodeId& node : nodes) {
-    absl::Time& last = probed_.try_emplace(node, absl::InfinitePast()).first->second;
+    absl::Time& last = last_probe_.try_emplace(node, absl::InfinitePast()).first->second;
     if (now - last < kProbeInterval) {
       continue;
     }
     last = now;
     const uint64_t number = ++last_number_;
-    questions_[number] = {name, 0, true, {node}, now + kAnswerTime};
+    pending_[number] = {name, 0, true, {node}, now + kResponseTimeout};
     actions.messages.push_back({node, {QuotaMessageKind::kAsk, number, name, 0, true, {}}});
   }
 }
 
-void SharedQuotas::giveBack(const LimitName& name, double cost, const NodeId& keeper, QuotaActions& actions) {
-  if (keeper == self_) {
-    if (const auto account = kept_.find(name); account != kept_.end()) {
-      account->second.putBack(cost);
+void SharedQuotas::giveBack(const LimitName& name, double cost, const NodeId& owner, QuotaActions& actions) {
+  if (owner == self_) {
+    if (const auto account = owned_accounts_.find(name); account != owned_accounts_.end()) {
+      account->second.refund(cost);
     }
-  } else if (!keeper.value().empty()) {
-    actions.messages.push_back({keeper, {QuotaMessageKind::kGiveBack, 0, name, cost, true, {}}});
+  } else if (!owner.value().empty()) {
+    actions.messages.push_back({owner, {QuotaMessageKind::kGiveBack, 0, name, cost, true, {}}});
   }
 }
 
@@ -126,50 +130,50 @@
   ranks_.noteHeard(from);
   switch (message.kind) {
     case QuotaMessageKind::kAsk:
-      answer(from, message, now, actions);
+      handleRequest(from, message, now, actions);
       return;
     case QuotaMessageKind::kGiveBack:
       giveBack(message.name, message.cost, self_, actions);
       return;
     case QuotaMessageKind::kGrant:
     case QuotaMessageKind::kDeny:
-    case QuotaMessageKind::kElsewhere:
-      takeAnswer(from, message, now, actions);
+    case QuotaMessageKind::kNotOwner:
+      handleResponse(from, message, now, actions);
       return;
   }
 }
 
-void SharedQuotas::answer(const NodeId& from, const QuotaMessage& question, absl::Time now,
-                          QuotaActions& actions) {
-  QuotaMessage reply = {QuotaMessageKind::kGrant, question.number, question.name, 0, true, {}};
-  const bool is_probe = question.cost <= 0;
-  if (!is_probe && question.is_first && !isKeeper(question.name)) {
-    reply.kind = QuotaMessageKind::kElsewhere;
+void SharedQuotas::handleRequest(const NodeId& from, const QuotaMessage& request, absl::Time now,
+                                 QuotaActions& actions) {
+  QuotaMessage reply = {QuotaMessageKind::kGrant, request.number, request.name, 0, true, {}};
+  const bool is_probe = request.cost <= 0;
+  if (!is_probe && request.is_first_candidate && !isOwner(request.name)) {
+    reply.kind = QuotaMessageKind::kNotOwner;
   } else if (!is_probe) {
-    const QuotaVerdict verdict = decideAsKeeper(question.name, question.cost, now, actions);
+    const QuotaVerdict verdict = decideAsOwner(request.name, request.cost, now, actions);
     reply.kind = verdict.is_granted ? QuotaMessageKind::kGrant : QuotaMessageKind::kDeny;
     reply.retry_after = verdict.retry_after;
   }
   actions.messages.push_back({from, reply});
 }
 
-void SharedQuotas::takeAnswer(const NodeId& from, const QuotaMessage& message, absl::Time now,
-                              QuotaActions& actions) {
-  const auto found = questions_.find(message.number);
-  const bool is_awaited = found != questions_.end() && found->second.asked.back() == from;
+void SharedQuotas::handleResponse(const NodeId& from, const QuotaMessage& message, absl::Time now,
+                                  QuotaActions& actions) {
+  const auto found = pending_.find(message.number);
+  const bool is_awaited = found != pending_.end() && found->second.tried.back() == from;
   if (!is_awaited) {
     return;  // it came too late: what it granted counts as used, which costs its holder a little
   }
-  Question& question = found->second;
-  if (message.kind == QuotaMessageKind::kElsewhere) {
-    for (const NodeId& node : ranks_.before(question.name.value(), from)) {
+  PendingRequest& request = found->second;
+  if (message.kind == QuotaMessageKind::kNotOwner) {
+    for (const NodeId& node : ranks_.before(request.name.value(), from)) {
       ranks_.noteHeard(node);  // by `from`
     }
-    askNext(message.number, question, now, actions);
+    tryNextOwner(message.number, request, now, actions);
     return;
   }
-  const bool is_probe = question.is_probe;
-  questions_.erase(found);
+  const bool is_probe = request.is_probe;
+  pending_.erase(found);
   if (!is_probe) {
     const bool is_granted = message.kind == QuotaMessageKind::kGrant;
     actions.decisions.push_back({message.number, {is_granted, message.retry_after}, from});
@@ -178,37 +182,37 @@
 
 void SharedQuotas::onTick(absl::Time now, QuotaActions& actions) {
   std::vector<uint64_t> late;
-  for (const auto& [number, question] : questions_) {
-    if (question.give_up <= now) {
+  for (const auto& [number, request] : pending_) {
+    if (request.deadline <= now) {
       late.push_back(number);
     }
   }
   for (const uint64_t number : late) {
-    Question& question = questions_.at(number);
-    ranks_.noteSilence(question.asked.back());
-    if (question.is_probe) {
-      questions_.erase(number);
+    PendingRequest& request = pending_.at(number);
+    ranks_.noteSilence(request.tried.back());
+    if (request.is_probe) {
+      pending_.erase(number);
     } else {
-      askNext(number, question, now, actions);
+      tryNextOwner(number, request, now, actions);
     }
   }
 }
 
 absl::Time SharedQuotas::nextWakeup() const {
   absl::Time next = absl::InfiniteFuture();
-  for (const auto& [number, question] : questions_) {
-    next = std::min(next, question.give_up);
+  for (const auto& [number, request] : pending_) {
+    next = std::min(next, request.deadline);
   }
   return next;
 }
 
 // Those out of use for a window hold nothing that a new account would not.
 void SharedQuotas::forgetIdleAccounts(absl::Time now) {
-  if (kept_.size() < kAccountsAtMost) {
+  if (owned_accounts_.size() < kMaxAccounts) {
     return;
   }
-  absl::erase_if(kept_,
-                 [&](const auto& entry) { return now - entry.second.lastAsked() > tolerance_.window; });
+  absl::erase_if(owned_accounts_,
+                 [&](const auto& entry) { return now - entry.second.lastRequest() > tolerance_.window; });
 }
 
 }  // namespace quincewick::quota
--- a/src/quota/shared_quotas.h
+++ b/src/quota/shared_quotas.h
@@ -39,11 +39,11 @@
 };
 
 // What a gateway does that hears others, while none of a limit's keepers answers it.
-enum class Unanswered : uint8_t {
-  kTakesShare,  // decides by its even share
+enum class NoOwnerPolicy : uint8_t {
+  kUseEvenShare,  // decides by its even share
   // Denies for a moment. Where a share is less than one request, each gateway's first one would pass the
   // limit many times over.
-  kDenies,
+  kDenyRequest,
 };
 
 class SharedQuotas {
@@ -52,25 +52,26 @@
   using LimitOf = std::function<const RateLimit*(const LimitName& name)>;
 
   SharedQuotas(NodeId self, LimitTolerance tolerance, LimitOf limit_of,
-               Unanswered unanswered = Unanswered::kTakesShare)
+               NoOwnerPolicy no_owner_policy = NoOwnerPolicy::kUseEvenShare)
       : self_(std::move(self)),
         tolerance_(tolerance),
         limit_of_(std::move(limit_of)),
-        unanswered_(unanswered) {}
+        no_owner_policy_(no_owner_policy) {}
 
   void setTolerance(const LimitTolerance& tolerance) { tolerance_ = tolerance; }
   // All gateways of the site, this one too.
   void setMembers(std::vector<routing::KeeperMember> members) { ranks_.setMembers(std::move(members)); }
 
-  // Comes several times a second. `is_alone`: no other gateway is heard, so that this one has its even share.
-  // After such a time, or one in which this process stood still, another has kept this gateway's books.
-  void noteBeat(bool is_alone, absl::Time now);
+  // Comes several times a second. `is_isolated`: no other gateway is heard, so that this one has its even
+  // share. After such a time, or one in which this process stood still, another has kept this gateway's
+  // books.
+  void onHeartbeat(bool is_isolated, absl::Time now);
 
   // May a request under the limit start? Exactly one decision with the returned number follows, at once or
-  // within three times kAnswerTime.
+  // within three times kResponseTimeout.
   uint64_t ask(const LimitName& name, double cost, absl::Time now, QuotaActions& actions);
   // Nobody waits for the decision any more: it doesn't follow.
-  void forget(uint64_t number) { questions_.erase(number); }
+  void forget(uint64_t number) { pending_.erase(number); }
   // What the keeper granted never ran.
   void giveBack(const LimitName& name, double cost, const NodeId& keeper, QuotaActions& actions);
 
@@ -82,39 +83,39 @@
 
   // How long an answer is awaited: across zones and through a busy gateway it takes some milliseconds, and a
   // request whose target is 120 ms must still be served in time after two that didn't answer.
-  static constexpr absl::Duration kAnswerTime = absl::Milliseconds(40);
+  static constexpr absl::Duration kResponseTimeout = absl::Milliseconds(40);
 
  private:
-  struct Question {
+  struct PendingRequest {
     LimitName name;
     double cost = 0;
     bool is_probe = false;  // asked only to see whether the keeper is there
-    std::vector<NodeId> asked;
-    absl::Time give_up;
+    std::vector<NodeId> tried;
+    absl::Time deadline;
   };
 
-  void askNext(uint64_t number, Question& question, absl::Time now, QuotaActions& actions);
-  QuotaVerdict decideAsKeeper(const LimitName& name, double cost, absl::Time now, QuotaActions& actions);
-  QuotaVerdict decideByOwnShare(const LimitName& name, double cost, absl::Time now);
-  bool isKeeper(const LimitName& name);
-  void answer(const NodeId& from, const QuotaMessage& question, absl::Time now, QuotaActions& actions);
-  void takeAnswer(const NodeId& from, const QuotaMessage& message, absl::Time now, QuotaActions& actions);
+  void tryNextOwner(uint64_t number, PendingRequest& request, absl::Time now, QuotaActions& actions);
+  QuotaVerdict decideAsOwner(const LimitName& name, double cost, absl::Time now, QuotaActions& actions);
+  QuotaVerdict decideByEvenShare(const LimitName& name, double cost, absl::Time now);
+  bool isOwner(const LimitName& name);
+  void handleRequest(const NodeId& from, const QuotaMessage& request, absl::Time now, QuotaActions& actions);
+  void handleResponse(const NodeId& from, const QuotaMessage& message, absl::Time now, QuotaActions& actions);
   void probe(const std::vector<NodeId>& nodes, const LimitName& name, absl::Time now, QuotaActions& actions);
   void forgetIdleAccounts(absl::Time now);
 
   NodeId self_;
   LimitTolerance tolerance_;
   LimitOf limit_of_;
-  Unanswered unanswered_;
+  NoOwnerPolicy no_owner_policy_;
   routing::KeeperRanks ranks_;
-  absl::btree_map<uint64_t, Question> questions_;  // without an answer, by rising numbers
-  absl::btree_map<LimitName, QuotaAccount> kept_;
-  absl::btree_map<LimitName, QuotaAccount> own_shares_;
-  absl::btree_map<NodeId, absl::Time> probed_;
+  absl::btree_map<uint64_t, PendingRequest> pending_;  // without an answer, by rising numbers
+  absl::btree_map<LimitName, QuotaAccount> owned_accounts_;
+  absl::btree_map<LimitName, QuotaAccount> even_share_accounts_;
+  absl::btree_map<NodeId, absl::Time> last_probe_;
   uint64_t last_number_ = 0;
-  bool is_alone_ = false;
-  absl::Time last_beat_ = absl::InfinitePast();
-  absl::Time was_away_until_ =
+  bool is_isolated_ = false;
+  absl::Time last_heartbeat_ = absl::InfinitePast();
+  absl::Time rejoining_until_ =
       absl::InfinitePast();  // before it, others may still give out what this one may
 };
 
--- a/src/reactor/plain_server.cc
+++ b/src/reactor/plain_server.cc
@@ -79,7 +79,7 @@
     if (!keeps_alive) {
       fields.push_back({"Connection", "close"});
     }
-    connection_->send(printAnswerHead(answer.status, reasonOf(answer.status), fields) + answer.body);
+    connection_->send(printResponseHead(answer.status, reasonOf(answer.status), fields) + answer.body);
   }
 
   void end(bool linger) {
--- a/src/routing/basic_policies.cc
+++ b/src/routing/basic_policies.cc
@@ -12,7 +12,7 @@
 namespace {
 
 // The choice of one engine whose cache is taken to hold nothing of the prompt.
-EngineChoice withoutCache(const EngineDirectory& directory, const PlacementQuery& query, EngineSlot engine,
+EngineChoice withoutCache(const EngineDirectory& directory, const PlacementQuery& query, EngineNumber engine,
                           absl::Time now) {
   const auto uncached = static_cast<double>(query.request.prompt.size());
   EngineChoice choice;
@@ -23,7 +23,7 @@
 }  // namespace
 
 EngineChoice RoundRobin::choose(const PlacementQuery& query, absl::Time now, absl::BitGenRef /*random*/) {
-  const EngineSlot engine = query.pool.engines[next_++ % query.pool.engines.size()];
+  const EngineNumber engine = query.pool.engines[next_++ % query.pool.engines.size()];
   return withoutCache(directory_, query, engine, now);
 }
 
@@ -31,10 +31,10 @@
   const auto& engines = query.pool.engines;
   // Starts anywhere, so that equals share the work.
   const size_t start = absl::Uniform<size_t>(random, 0, engines.size());
-  EngineSlot best = engines[start];
+  EngineNumber best = engines[start];
   EngineBacklog shortest = directory_.backlog(best, query.urgency, now);
   for (size_t step = 1; step < engines.size(); ++step) {
-    const EngineSlot engine = engines[(start + step) % engines.size()];
+    const EngineNumber engine = engines[(start + step) % engines.size()];
     const EngineBacklog backlog = directory_.backlog(engine, query.urgency, now);
     const bool shorter = backlog.tokens < shortest.tokens ||
                          (backlog.tokens == shortest.tokens && backlog.running < shortest.running);
--- a/src/routing/engine_directory.cc
+++ b/src/routing/engine_directory.cc
@@ -28,7 +28,7 @@
   return std::none_of(left.models.begin(), left.models.end(), lacks_version);
 }
 
-void addTo(EnginePool& pool, EngineSlot engine, uint64_t identity_hash) {
+void addTo(EnginePool& pool, EngineNumber engine, uint64_t identity_hash) {
   pool.engines.push_back(engine);
   pool.identity_hashes.push_back(identity_hash);
   pool.members.resize(std::max(pool.members.size(), static_cast<size_t>(engine) + 1));
@@ -48,14 +48,14 @@
       distance_seconds_{0.0, absl::ToDoubleSeconds(settings_.zone_distance),
                         absl::ToDoubleSeconds(settings_.region_distance)} {}
 
-EngineSlot EngineDirectory::allocate() {
+EngineNumber EngineDirectory::allocate() {
   if (!free_.empty()) {
-    const EngineSlot engine = free_.back();
+    const EngineNumber engine = free_.back();
     free_.pop_back();
     return engine;
   }
   states_.emplace_back();
-  return static_cast<EngineSlot>(states_.size() - 1);
+  return static_cast<EngineNumber>(states_.size() - 1);
 }
 
 RegionName EngineDirectory::regionOf(const ZoneName& zone) const {
@@ -76,7 +76,7 @@
   if (is_new && slots_.size() == kMaximumEngines) {
     return std::nullopt;
   }
-  const EngineSlot slot = is_new ? allocate() : known->second;
+  const EngineNumber slot = is_new ? allocate() : known->second;
   State& state = at(slot);
   if (!is_new && engine.incarnation < state.back_end->incarnation) {
     return UpsertOutcome{slot, false};
@@ -97,12 +97,12 @@
   return UpsertOutcome{slot, voided};
 }
 
-std::optional<EngineSlot> EngineDirectory::remove(const BackEndId& engine) {
+std::optional<EngineNumber> EngineDirectory::remove(const BackEndId& engine) {
   const auto known = slots_.find(engine);
   if (known == slots_.end()) {
     return std::nullopt;
   }
-  const EngineSlot slot = known->second;
+  const EngineNumber slot = known->second;
   slots_.erase(known);
   clearWork(at(slot));
   at(slot).back_end.reset();
@@ -152,7 +152,7 @@
   }
 }
 
-void EngineDirectory::sent(EngineSlot engine, PendingPrefill pending) {
+void EngineDirectory::sent(EngineNumber engine, PendingPrefill pending) {
   State& state = at(engine);
   const auto uncached = static_cast<double>(pending.uncached_tokens);
   state.sums.uncached[position(pending.urgency)] += uncached;
@@ -161,7 +161,7 @@
   state.pending.push_back(std::move(pending));
 }
 
-void EngineDirectory::prefillDone(EngineSlot engine, const RequestId& request) {
+void EngineDirectory::prefillDone(EngineNumber engine, const RequestId& request) {
   State& state = at(engine);
   const auto pending = std::find_if(state.pending.begin(), state.pending.end(),
                                     [&](const PendingPrefill& known) { return known.request == request; });
@@ -174,7 +174,7 @@
   state.pending.erase(pending);
 }
 
-void EngineDirectory::ended(EngineSlot engine) {
+void EngineDirectory::ended(EngineNumber engine) {
   State& state = at(engine);
   state.own_running -= state.own_running > 0 ? 1 : 0;
 }
@@ -217,7 +217,7 @@
     if (!meets(state, requirement, selector)) {
       continue;
     }
-    const auto slot = static_cast<EngineSlot>(number);
+    const auto slot = static_cast<EngineNumber>(number);
     addTo(pools.by_distance[state.distance], slot, state.identity_hash);
     if (state.distance < EnginePools::kDistances - 1) {
       addTo(pools.region, slot, state.identity_hash);
@@ -234,7 +234,7 @@
   return pools_.emplace(requirement, makePools(requirement, selector)).first->second;
 }
 
-EngineBacklog EngineDirectory::backlog(EngineSlot engine, Urgency urgency, absl::Time now) const {
+EngineBacklog EngineDirectory::backlog(EngineNumber engine, Urgency urgency, absl::Time now) const {
   const State& state = at(engine);
   double own = 0;
   double own_of_urgency = 0;
@@ -266,24 +266,24 @@
   return result;
 }
 
-absl::Duration EngineDirectory::expectedFirstToken(EngineSlot engine, Urgency urgency, double uncached_tokens,
-                                                   absl::Time now) const {
+absl::Duration EngineDirectory::expectedFirstToken(EngineNumber engine, Urgency urgency,
+                                                   double uncached_tokens, absl::Time now) const {
   return absl::Seconds(expectedFirstTokenSeconds(engine, urgency, uncached_tokens, now));
 }
 
-double EngineDirectory::expectedFirstTokenSeconds(EngineSlot engine, Urgency urgency, double uncached_tokens,
-                                                  absl::Time now) const {
+double EngineDirectory::expectedFirstTokenSeconds(EngineNumber engine, Urgency urgency,
+                                                  double uncached_tokens, absl::Time now) const {
   const EngineBacklog ahead = backlog(engine, urgency, now);
   return absl::ToDoubleSeconds(settings_.cost.first_token_overhead) +
          prefill_seconds_per_token_ * (ahead.tokens + uncached_tokens) +
          distance_seconds_[at(engine).distance];
 }
 
-absl::Duration EngineDirectory::distance(EngineSlot engine) const {
+absl::Duration EngineDirectory::distance(EngineNumber engine) const {
   return absl::Seconds(distance_seconds_[at(engine).distance]);
 }
 
-std::optional<EngineSlot> EngineDirectory::find(const BackEndId& engine) const {
+std::optional<EngineNumber> EngineDirectory::find(const BackEndId& engine) const {
   const auto known = slots_.find(engine);
   if (known == slots_.end()) {
     return std::nullopt;
@@ -291,7 +291,7 @@
   return known->second;
 }
 
-bool EngineDirectory::ready(EngineSlot engine) const {
+bool EngineDirectory::ready(EngineNumber engine) const {
   const State& state = at(engine);
   return state.back_end != nullptr && !state.ejected && state.back_end->state == BackEndState::kReady;
 }
--- a/src/routing/engine_directory.h
+++ b/src/routing/engine_directory.h
@@ -16,7 +16,7 @@
 #include <string>
 #include <vector>
 
-#include "prefix/trunk_index.h"
+#include "prefix/prefix_index.h"
 #include "routing/selector.h"
 #include "types/back_end.h"
 #include "types/identifiers.h"
@@ -24,7 +24,7 @@
 
 namespace quincewick::routing {
 
-using prefix::EngineSlot;
+using prefix::EngineNumber;
 
 // What an engine of the site costs. Used until answers teach better.
 struct EngineCost {
@@ -54,11 +54,11 @@
 // The engines of one distance that meet a requirement, ready for work. Ordered by slot.
 struct EnginePool {
   uint64_t generation = 0;  // unique to these contents; 0: none was given
-  std::vector<EngineSlot> engines;
+  std::vector<EngineNumber> engines;
   std::vector<uint64_t> identity_hashes;  // of their identifiers, in the same order: for rendezvous hashing
   std::vector<bool> members;              // by slot number
 
-  bool contains(EngineSlot engine) const {
+  bool contains(EngineNumber engine) const {
     const auto position = static_cast<size_t>(engine);
     return position < members.size() && members[position];
   }
@@ -93,7 +93,7 @@
   explicit EngineDirectory(EngineDirectorySettings settings);
 
   struct UpsertOutcome {
-    EngineSlot engine{};
+    EngineNumber engine{};
     bool voided = false;  // new, restarted or with other weights: beliefs about its cache are void
   };
   // Takes what is known of an engine. An older incarnation than the known one changes nothing. Returns
@@ -103,7 +103,7 @@
   static constexpr size_t kMaximumEngines = 65536;  // as many as slots can name
 
   // Forgets an engine. Returns its slot if it was known.
-  std::optional<EngineSlot> remove(const BackEndId& engine);
+  std::optional<EngineNumber> remove(const BackEndId& engine);
 
   // Takes a load report that shows the state at `measured`. Reports of another incarnation or older than the
   // last one are dropped: returns false.
@@ -113,11 +113,11 @@
   void setEjected(const BackEndId& engine, bool ejected);
 
   // A request was sent to the engine.
-  void sent(EngineSlot engine, PendingPrefill pending);
+  void sent(EngineNumber engine, PendingPrefill pending);
   // It gave its first token, or ended without one.
-  void prefillDone(EngineSlot engine, const RequestId& request);
+  void prefillDone(EngineNumber engine, const RequestId& request);
   // It ended.
-  void ended(EngineSlot engine);
+  void ended(EngineNumber engine);
 
   // Learns how much of the prompts that all nodes send has to be computed.
   void learnMissShare(uint64_t prompt_tokens, uint64_t cached_tokens);
@@ -131,27 +131,27 @@
 
   // What the engine must compute before a request of the urgency: own work by its estimates, others' by the
   // report less what was done since.
-  EngineBacklog backlog(EngineSlot engine, Urgency urgency, absl::Time now) const;
+  EngineBacklog backlog(EngineNumber engine, Urgency urgency, absl::Time now) const;
 
   // The expected time to first token of a request that needs `uncached_tokens` computed, at this engine.
-  absl::Duration expectedFirstToken(EngineSlot engine, Urgency urgency, double uncached_tokens,
+  absl::Duration expectedFirstToken(EngineNumber engine, Urgency urgency, double uncached_tokens,
                                     absl::Time now) const;
 
   // The same in seconds, for comparing many.
-  double expectedFirstTokenSeconds(EngineSlot engine, Urgency urgency, double uncached_tokens,
+  double expectedFirstTokenSeconds(EngineNumber engine, Urgency urgency, double uncached_tokens,
                                    absl::Time now) const;
 
   double prefillSecondsPerToken() const { return prefill_seconds_per_token_; }
 
   // Round trip from this node.
-  absl::Duration distance(EngineSlot engine) const;
+  absl::Duration distance(EngineNumber engine) const;
 
   // Whether the slot stands for an engine.
-  bool known(EngineSlot engine) const { return at(engine).back_end != nullptr; }
-  const BackEnd& engine(EngineSlot engine) const { return *at(engine).back_end; }
-  std::optional<EngineSlot> find(const BackEndId& engine) const;
-  bool ready(EngineSlot engine) const;
-  const EngineLoad& lastLoad(EngineSlot engine) const { return at(engine).load; }
+  bool known(EngineNumber engine) const { return at(engine).back_end != nullptr; }
+  const BackEnd& engine(EngineNumber engine) const { return *at(engine).back_end; }
+  std::optional<EngineNumber> find(const BackEndId& engine) const;
+  bool ready(EngineNumber engine) const;
+  const EngineLoad& lastLoad(EngineNumber engine) const { return at(engine).load; }
   // Whether any engine, in whatever state, has the model.
   bool knowsModel(const ModelName& model) const;
   // How many ready engines have each version of the model, from the newest.
@@ -183,9 +183,9 @@
     uint32_t own_running_reported = 0;  // own_running when the last report was taken
   };
 
-  const State& at(EngineSlot engine) const { return states_[static_cast<size_t>(engine)]; }
-  State& at(EngineSlot engine) { return states_[static_cast<size_t>(engine)]; }
-  EngineSlot allocate();
+  const State& at(EngineNumber engine) const { return states_[static_cast<size_t>(engine)]; }
+  State& at(EngineNumber engine) { return states_[static_cast<size_t>(engine)]; }
+  EngineNumber allocate();
   void clearWork(State& state);
   size_t distanceClass(const ZoneName& zone) const;
   RegionName regionOf(const ZoneName& zone) const;
@@ -197,8 +197,8 @@
   std::array<double, EnginePools::kDistances> distance_seconds_{};
   uint64_t next_generation_ = 1;
   std::vector<State> states_;
-  std::vector<EngineSlot> free_;
-  absl::btree_map<BackEndId, EngineSlot> slots_;
+  std::vector<EngineNumber> free_;
+  absl::btree_map<BackEndId, EngineNumber> slots_;
   absl::btree_map<EngineRequirement, EnginePools> pools_;  // cleared by each change of membership or state
   std::array<double, kAllUrgencies.size()> pending_by_urgency_{};  // of all engines
   double miss_share_ = kInitialMissShare;
--- a/src/routing/placement_policy.h
+++ b/src/routing/placement_policy.h
@@ -17,14 +17,14 @@
 
 // Blocks that another engine holds and that are cheaper to move than to compute.
 struct ImportPlan {
-  EngineSlot source{};
+  EngineNumber source{};
   uint32_t first_block = 0;  // in the request's chain
   uint32_t block_count = 0;
 };
 
 // One engine that was weighed.
 struct ScoredEngine {
-  EngineSlot engine{};
+  EngineNumber engine{};
   absl::Duration expected_first_token;
   uint32_t expected_cached_blocks = 0;
 };
@@ -44,7 +44,7 @@
 };
 
 // Chooses an engine. Implementations keep their own state; what they are told of engines comes through the
-// EngineDirectory and the TrunkIndex they were made with.
+// EngineDirectory and the PrefixIndex they were made with.
 class PlacementPolicy {
  public:
   PlacementPolicy() = default;
--- a/src/routing/prefix_affinity.cc
+++ b/src/routing/prefix_affinity.cc
@@ -13,14 +13,14 @@
 
 constexpr size_t kMaximumAlternatives = 3;
 
-const prefix::TrunkView::Holder* holderOf(const prefix::TrunkView& view, EngineSlot engine) {
+const prefix::PrefixView::Holder* holderOf(const prefix::PrefixView& view, EngineNumber engine) {
   const auto holder =
       std::lower_bound(view.holders.begin(), view.holders.end(), engine,
-                       [](const auto& known, EngineSlot wanted) { return known.engine < wanted; });
+                       [](const auto& known, EngineNumber wanted) { return known.engine < wanted; });
   return holder == view.holders.end() || holder->engine != engine ? nullptr : &*holder;
 }
 
-void addOnce(std::vector<EngineSlot>& engines, EngineSlot engine) {
+void addOnce(std::vector<EngineNumber>& engines, EngineNumber engine) {
   if (std::find(engines.begin(), engines.end(), engine) == engines.end()) {
     engines.push_back(engine);
   }
@@ -29,7 +29,7 @@
 }  // namespace
 
 PrefixAffinity::Trunk PrefixAffinity::trunkOf(const PlacementQuery& query,
-                                              const prefix::TrunkView& view) const {
+                                              const prefix::PrefixView& view) const {
   const auto& blocks = query.request.prompt.blocks;
   Trunk trunk;
   trunk.replicas = settings_.hash_candidates;
@@ -54,9 +54,9 @@
   return trunk;
 }
 
-std::vector<EngineSlot> PrefixAffinity::longestHolders(const EnginePool& pool,
-                                                       const prefix::TrunkView& view) const {
-  std::vector<prefix::TrunkView::Holder> holders;
+std::vector<EngineNumber> PrefixAffinity::longestHolders(const EnginePool& pool,
+                                                         const prefix::PrefixView& view) const {
+  std::vector<prefix::PrefixView::Holder> holders;
   std::copy_if(view.holders.begin(), view.holders.end(), std::back_inserter(holders),
                [&pool](const auto& holder) { return pool.contains(holder.engine); });
   const size_t kept = std::min<size_t>(holders.size(), settings_.maximum_holders);
@@ -65,21 +65,21 @@
                       return std::tie(right.possible_blocks, left.engine) <
                              std::tie(left.possible_blocks, right.engine);
                     });
-  std::vector<EngineSlot> engines;
+  std::vector<EngineNumber> engines;
   for (size_t place = 0; place < kept; ++place) {
     engines.push_back(holders[place].engine);
   }
   return engines;
 }
 
-std::vector<EngineSlot> PrefixAffinity::candidates(const EnginePool& pool, const Trunk& trunk,
-                                                   const prefix::TrunkView& view, absl::BitGenRef random) {
-  const std::vector<EngineSlot>& ranked = ranks_.rank(trunk.key, pool, trunk.replicas);
+std::vector<EngineNumber> PrefixAffinity::candidates(const EnginePool& pool, const Trunk& trunk,
+                                                     const prefix::PrefixView& view, absl::BitGenRef random) {
+  const std::vector<EngineNumber>& ranked = ranks_.rank(trunk.key, pool, trunk.replicas);
   const size_t home_count = std::min<size_t>(trunk.replicas, ranked.size());
-  std::vector<EngineSlot> engines;
+  std::vector<EngineNumber> engines;
   engines.reserve(home_count + settings_.maximum_holders + settings_.random_candidates);
   engines.assign(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(home_count));
-  for (const EngineSlot engine : longestHolders(pool, view)) {
+  for (const EngineNumber engine : longestHolders(pool, view)) {
     addOnce(engines, engine);
   }
   for (uint32_t draw = 0; draw < settings_.random_candidates; ++draw) {
@@ -88,8 +88,8 @@
   return engines;
 }
 
-PrefixAffinity::Candidate PrefixAffinity::weigh(const PlacementQuery& query, EngineSlot engine,
-                                                const prefix::TrunkView& view, absl::Time now) const {
+PrefixAffinity::Candidate PrefixAffinity::weigh(const PlacementQuery& query, EngineNumber engine,
+                                                const prefix::PrefixView& view, absl::Time now) const {
   const PrefixChain& prompt = query.request.prompt;
   double cached_blocks = 0;
   if (const auto* holder = holderOf(view, engine)) {
@@ -111,7 +111,7 @@
 }
 
 std::optional<ImportPlan> PrefixAffinity::importPlan(const PlacementQuery& query, const ScoredEngine& chosen,
-                                                     const prefix::TrunkView& view) const {
+                                                     const prefix::PrefixView& view) const {
   const absl::Duration recompute_block =
       directory_.settings().cost.prefill_per_token * query.request.prompt.block_size;
   if (!settings_.import || settings_.import_per_block >= recompute_block) {
@@ -130,11 +130,11 @@
 }
 
 void PrefixAffinity::weighPool(const PlacementQuery& query, const EnginePool& pool,
-                               const prefix::TrunkView& view, absl::Time now, absl::BitGenRef random,
+                               const prefix::PrefixView& view, absl::Time now, absl::BitGenRef random,
                                std::vector<Candidate>& weighed) {
   const Trunk trunk = trunkOf(query, view);
   bool home = true;
-  for (const EngineSlot engine : candidates(pool, trunk, view, random)) {
+  for (const EngineNumber engine : candidates(pool, trunk, view, random)) {
     Candidate candidate = weigh(query, engine, view, now);
     candidate.cost -= home ? absl::ToDoubleSeconds(settings_.home_bonus) : 0.0;
     home = false;
@@ -143,7 +143,7 @@
 }
 
 EngineChoice PrefixAffinity::choose(const PlacementQuery& query, absl::Time now, absl::BitGenRef random) {
-  const prefix::TrunkView view = index_.observe(query.request.prompt, now);
+  const prefix::PrefixView view = index_.observe(query.request.prompt, now);
   std::vector<Candidate> weighed;
   weighPool(query, query.pool, view, now, random, weighed);
   const auto cheaper = [](const Candidate& left, const Candidate& right) { return left.cost < right.cost; };
--- a/src/routing/prefix_affinity.h
+++ b/src/routing/prefix_affinity.h
@@ -15,7 +15,7 @@
 #include <cstdint>
 #include <optional>
 
-#include "prefix/trunk_index.h"
+#include "prefix/prefix_index.h"
 #include "routing/placement_policy.h"
 #include "routing/rendezvous.h"
 
@@ -38,7 +38,7 @@
 
 class PrefixAffinity final : public PlacementPolicy {
  public:
-  PrefixAffinity(const EngineDirectory& directory, prefix::TrunkIndex& index,
+  PrefixAffinity(const EngineDirectory& directory, prefix::PrefixIndex& index,
                  const PrefixAffinitySettings& settings)
       : directory_(directory), index_(index), settings_(settings) {}
 
@@ -50,26 +50,26 @@
     uint32_t replicas = 1;
   };
   struct Candidate {
-    EngineSlot engine{};
+    EngineNumber engine{};
     double cached_blocks = 0;
     double first_token_seconds = 0;
     double cost = 0;  // seconds
   };
 
-  Trunk trunkOf(const PlacementQuery& query, const prefix::TrunkView& view) const;
-  std::vector<EngineSlot> longestHolders(const EnginePool& pool, const prefix::TrunkView& view) const;
-  std::vector<EngineSlot> candidates(const EnginePool& pool, const Trunk& trunk,
-                                     const prefix::TrunkView& view, absl::BitGenRef random);
+  Trunk trunkOf(const PlacementQuery& query, const prefix::PrefixView& view) const;
+  std::vector<EngineNumber> longestHolders(const EnginePool& pool, const prefix::PrefixView& view) const;
+  std::vector<EngineNumber> candidates(const EnginePool& pool, const Trunk& trunk,
+                                       const prefix::PrefixView& view, absl::BitGenRef random);
   static ScoredEngine scored(const Candidate& candidate);
-  Candidate weigh(const PlacementQuery& query, EngineSlot engine, const prefix::TrunkView& view,
+  Candidate weigh(const PlacementQuery& query, EngineNumber engine, const prefix::PrefixView& view,
                   absl::Time now) const;
-  void weighPool(const PlacementQuery& query, const EnginePool& pool, const prefix::TrunkView& view,
+  void weighPool(const PlacementQuery& query, const EnginePool& pool, const prefix::PrefixView& view,
                  absl::Time now, absl::BitGenRef random, std::vector<Candidate>& weighed);
   std::optional<ImportPlan> importPlan(const PlacementQuery& query, const ScoredEngine& chosen,
-                                       const prefix::TrunkView& view) const;
+                                       const prefix::PrefixView& view) const;
 
   const EngineDirectory& directory_;
-  prefix::TrunkIndex& index_;
+  prefix::PrefixIndex& index_;
   PrefixAffinitySettings settings_;
   RankCache ranks_;
 };
--- a/src/routing/rendezvous.cc
+++ b/src/routing/rendezvous.cc
@@ -5,7 +5,7 @@
 
 namespace quincewick::routing {
 
-std::vector<EngineSlot> rendezvousRank(uint64_t key, const EnginePool& pool, size_t count) {
+std::vector<EngineNumber> rendezvousRank(uint64_t key, const EnginePool& pool, size_t count) {
   count = std::min(count, pool.engines.size());
   std::vector<std::pair<uint64_t, size_t>> best;  // weight and place in the pool, the greatest first
   best.reserve(count + 1);
@@ -23,7 +23,7 @@
     }
     least = best.size() == count ? best.back().first : 0;
   }
-  std::vector<EngineSlot> ranked;
+  std::vector<EngineNumber> ranked;
   ranked.reserve(best.size());
   for (const auto& [weight, place] : best) {
     ranked.push_back(pool.engines[place]);
@@ -31,7 +31,7 @@
   return ranked;
 }
 
-const std::vector<EngineSlot>& RankCache::rank(uint64_t key, const EnginePool& pool, size_t count) {
+const std::vector<EngineNumber>& RankCache::rank(uint64_t key, const EnginePool& pool, size_t count) {
   Entry& entry = entries_[key % kEntries];
   const bool known = pool.generation != 0 && entry.generation == pool.generation && entry.key == key &&
                      entry.ranked.size() >= std::min(count, pool.engines.size());
--- a/src/routing/rendezvous.h
+++ b/src/routing/rendezvous.h
@@ -21,13 +21,13 @@
 }
 
 // Returns the `count` engines of the pool that rank first for the key, the first one first; all if fewer.
-std::vector<EngineSlot> rendezvousRank(uint64_t key, const EnginePool& pool, size_t count);
+std::vector<EngineNumber> rendezvousRank(uint64_t key, const EnginePool& pool, size_t count);
 
 // Remembers the ranks of recent keys, for trunks are few and pools change seldom. Bounded.
 class RankCache {
  public:
   // As rendezvousRank with at most kMaximumRanked engines. Pools of generation 0 aren't remembered.
-  const std::vector<EngineSlot>& rank(uint64_t key, const EnginePool& pool, size_t count);
+  const std::vector<EngineNumber>& rank(uint64_t key, const EnginePool& pool, size_t count);
 
   static constexpr size_t kMaximumRanked = 8;
 
@@ -37,7 +37,7 @@
   struct Entry {
     uint64_t key = 0;
     uint64_t generation = 0;
-    std::vector<EngineSlot> ranked;
+    std::vector<EngineNumber> ranked;
   };
 
   std::vector<Entry> entries_ = std::vector<Entry>(kEntries);
--- a/src/routing/router.cc
+++ b/src/routing/router.cc
@@ -12,7 +12,7 @@
 namespace {
 
 std::unique_ptr<PlacementPolicy> makePolicy(const RouterSettings& settings, const EngineDirectory& directory,
-                                            prefix::TrunkIndex& index) {
+                                            prefix::PrefixIndex& index) {
   switch (settings.policy) {
     case PolicyKind::kRoundRobin:
       return std::make_unique<RoundRobin>(directory);
@@ -26,11 +26,11 @@
   return std::make_unique<PrefixAffinity>(directory, index, settings.affinity);
 }
 
-EnginePool without(const EnginePool& pool, const std::vector<EngineSlot>& excluded) {
+EnginePool without(const EnginePool& pool, const std::vector<EngineNumber>& excluded) {
   EnginePool rest;
   rest.members.resize(pool.members.size());
   for (size_t place = 0; place < pool.engines.size(); ++place) {
-    const EngineSlot engine = pool.engines[place];
+    const EngineNumber engine = pool.engines[place];
     if (std::find(excluded.begin(), excluded.end(), engine) == excluded.end()) {
       rest.engines.push_back(engine);
       rest.identity_hashes.push_back(pool.identity_hashes[place]);
@@ -40,7 +40,7 @@
   return rest;
 }
 
-EnginePools withoutEngines(const EnginePools& pools, const std::vector<EngineSlot>& excluded) {
+EnginePools withoutEngines(const EnginePools& pools, const std::vector<EngineNumber>& excluded) {
   EnginePools rest;
   for (size_t distance = 0; distance < EnginePools::kDistances; ++distance) {
     rest.by_distance[distance] = without(pools.by_distance[distance], excluded);
@@ -88,7 +88,7 @@
 }
 
 Router::Router(const RouterSettings& settings)
-    : Router(settings, [&settings](const EngineDirectory& directory, prefix::TrunkIndex& index) {
+    : Router(settings, [&settings](const EngineDirectory& directory, prefix::PrefixIndex& index) {
         return makePolicy(settings, directory, index);
       }) {}
 
@@ -146,7 +146,7 @@
   if (!noteIncarnation(event.engine, event.incarnation)) {
     return;
   }
-  const EngineSlot engine = *directory_.find(event.engine);
+  const EngineNumber engine = *directory_.find(event.engine);
   if (index_.apply(engine, event.events, now)) {
     actions.push_back(ReadCacheEvents{event.engine, index_.resumeAfter(engine)});
   }
@@ -246,7 +246,7 @@
 
 Result<Placement> Router::choose(const InferenceRequest& request, const RouteDecision& decision,
                                  const ChooseOptions& options, absl::Time now, absl::BitGenRef random) {
-  std::vector<EngineSlot> excluded;
+  std::vector<EngineNumber> excluded;
   for (const BackEndId& engine : options.excluded) {
     if (const auto slot = directory_.find(engine)) {
       excluded.push_back(*slot);
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -15,7 +15,7 @@
 #include <string>
 #include <vector>
 
-#include "prefix/trunk_index.h"
+#include "prefix/prefix_index.h"
 #include "routing/engine_directory.h"
 #include "routing/placement_policy.h"
 #include "routing/prefix_affinity.h"
@@ -31,7 +31,7 @@
 struct RouterSettings {
   PolicyKind policy = PolicyKind::kPrefixAffinity;
   EngineDirectorySettings directory;
-  prefix::TrunkIndexSettings index;
+  prefix::PrefixIndexSettings index;
   PrefixAffinitySettings affinity;
   uint32_t pure_hash_blocks = 1;
   // Up to this many engines in the region, zones are not told apart: a trip between zones costs far less than
@@ -79,7 +79,7 @@
  public:
   // Makes a policy over the router's own directory and index, which outlive it.
   using PolicyFactory =
-      std::function<std::unique_ptr<PlacementPolicy>(const EngineDirectory&, prefix::TrunkIndex&)>;
+      std::function<std::unique_ptr<PlacementPolicy>(const EngineDirectory&, prefix::PrefixIndex&)>;
 
   explicit Router(const RouterSettings& settings);
   // With a policy of the caller's instead of `settings.policy`.
@@ -111,13 +111,13 @@
   Sequence resumeCacheEventsAfter(const BackEndId& engine) const;
 
   const EngineDirectory& directory() const { return directory_; }
-  const prefix::TrunkIndex& index() const { return index_; }
+  const prefix::PrefixIndex& index() const { return index_; }
   size_t inFlight() const { return in_flight_.size(); }
 
  private:
   // A request sent and not ended.
   struct InFlight {
-    EngineSlot engine{};
+    EngineNumber engine{};
     Incarnation incarnation;
     PrefixChain prompt;
     size_t expected_cached_blocks = 0;
@@ -145,7 +145,7 @@
 
   RouterSettings settings_;
   EngineDirectory directory_;
-  prefix::TrunkIndex index_;
+  prefix::PrefixIndex index_;
   std::unique_ptr<PlacementPolicy> policy_;
   std::shared_ptr<const RouteTable> routes_;
   absl::flat_hash_map<RequestId, InFlight> in_flight_;
--- a/src/routing/router_events.h
+++ b/src/routing/router_events.h
@@ -8,7 +8,7 @@
 #include <variant>
 #include <vector>
 
-#include "prefix/trunk_index.h"
+#include "prefix/prefix_index.h"
 #include "routing/route_table.h"
 #include "types/back_end.h"
 #include "types/identifiers.h"
--- a/src/staged_rollout/rollout_record.cc
+++ b/src/staged_rollout/rollout_record.cc
@@ -8,8 +8,8 @@
 namespace quincewick::staged_rollout {
 namespace {
 
-constexpr uint8_t kForm = 1;
-constexpr uint32_t kLongestName = 200;
+constexpr uint8_t kFormatVersion = 1;
+constexpr uint32_t kMaxNameBytes = 200;
 
 }  // namespace
 
@@ -34,7 +34,7 @@
 template <class Archive, class Tag>
 void archiveName(Archive& archive, StrongString<Tag>& name) {
   std::string text = name.value();
-  archiveText(archive, text, kLongestName);
+  archiveText(archive, text, kMaxNameBytes);
   if constexpr (Archive::is_loading::value) {
     name = StrongString<Tag>(std::move(text));
   }
@@ -42,9 +42,9 @@
 
 template <class Archive>
 void serialize(Archive& archive, RolloutRecord& record) {
-  uint8_t form = kForm;
-  archive(form);
-  if (form != kForm) {
+  uint8_t format_version = kFormatVersion;
+  archive(format_version);
+  if (format_version != kFormatVersion) {
     throw cereal::Exception("a form that is not known");
   }
   archiveName(archive, record.service);
@@ -52,7 +52,7 @@
   archiveName(archive, record.target);
   auto stage = static_cast<uint8_t>(record.stage);
   archive(stage, record.share, record.request_row, record.began, record.deadline, record.stage_began,
-          record.base_until, record.fence, record.bad_answers);
+          record.base_until, record.fence, record.bad_responses);
   if constexpr (Archive::is_loading::value) {
     const bool is_sound =
         stage <= static_cast<uint8_t>(RolloutStage::kRolledBack) && record.share >= 0 && record.share <= 1;
--- a/src/staged_rollout/rollout_record.h
+++ b/src/staged_rollout/rollout_record.h
@@ -41,8 +41,8 @@
   absl::Duration stage_began;  // and, while it moves, the step
   // From then on the base gets nothing from a gateway that knows nothing new of the rollout.
   absl::Duration base_until;
-  Epoch fence;               // of the lease under which it was written
-  uint64_t bad_answers = 0;  // of the target, that were known when it was written
+  Epoch fence;                 // of the lease under which it was written
+  uint64_t bad_responses = 0;  // of the target, that were known when it was written
 
   bool isRunning() const {
     return stage == RolloutStage::kWatching || stage == RolloutStage::kMoving ||
--- a/src/staged_rollout/traffic_gate.cc
+++ b/src/staged_rollout/traffic_splitter.cc
@@ -1,4 +1,4 @@
-#include "staged_rollout/traffic_gate.h"
+#include "staged_rollout/traffic_splitter.h"
 
 #include <algorithm>
 
@@ -6,16 +6,16 @@
 namespace {
 
 // Of the share, so that requests which the base answered and nobody counts are no excess.
-constexpr double kShareUsed = 0.9;
+constexpr double kShareUsedFraction = 0.9;
 // What a bucket holds at most: a route that falls silent keeps no right for later.
-constexpr double kBucketHolds = 2;
+constexpr double kBucketCapacity = 2;
 // Requests of more prompts than the share's may go to the target, for the bucket to be spent also where those
 // that were drawn are rare.
-constexpr double kPromptsForShare = 1.5;
+constexpr double kPromptShareFactor = 1.5;
 
 }  // namespace
 
-void TrafficGate::take(const KnownRecord& known) {
+void TrafficSplitter::take(const KnownRecord& known) {
   if (known_ && known.row <= known_->row) {
     return;
   }
@@ -27,25 +27,25 @@
   known_ = known;
 }
 
-void TrafficGate::takeRecord(const KnownRecord& known, absl::Time as_of) {
+void TrafficSplitter::takeRecord(const KnownRecord& known, absl::Time as_of) {
   take(known);
   confirmRecord(as_of);
 }
 
 // A notice of an earlier record than the one that is known is of a decider that was replaced.
-void TrafficGate::takeNotice(const RolloutNotice& notice, absl::Time now) {
+void TrafficSplitter::takeNotice(const RolloutNotice& notice, absl::Time now) {
   take(notice.known);
   if (notice.known.row < known_->row) {
     return;
   }
-  notice_came_ = std::max(notice_came_, now);
+  notice_received_at_ = std::max(notice_received_at_, now);
   if (notice.stops_target) {
-    stopped_request_ = notice.known.record.request_row;
+    stopped_request_row_ = notice.known.record.request_row;
   }
 }
 
 // A version that stood alone stays the base though others come beside it.
-void TrafficGate::noteListed(const absl::flat_hash_map<SoftwareVersion, size_t>& servers) {
+void TrafficSplitter::noteListed(const absl::flat_hash_map<SoftwareVersion, size_t>& servers) {
   if (known_ || guessed_base_ || servers.empty()) {
     return;
   }
@@ -55,66 +55,67 @@
   guessed_base_ = most->first;
 }
 
-std::optional<SoftwareVersion> TrafficGate::base() const {
+std::optional<SoftwareVersion> TrafficSplitter::base() const {
   return known_ ? std::optional(known_->record.base) : guessed_base_;
 }
 
-SoftwareVersion TrafficGate::versionOf(Side side) const {
-  return side == Side::kBase ? base().value_or(SoftwareVersion()) : known_->record.target;
+SoftwareVersion TrafficSplitter::versionOf(Variant side) const {
+  return side == Variant::kBaseline ? base().value_or(SoftwareVersion()) : known_->record.target;
 }
 
 // Who hears neither the decider nor the store can't know whether the base's servers are about to be stopped.
-bool TrafficGate::isBaseOpen(absl::Duration store_clock, absl::Time now) const {
+bool TrafficSplitter::isBaseOpen(absl::Duration store_clock, absl::Time now) const {
   if (!isRunning()) {
     return true;
   }
   if (known_->record.stage == RolloutStage::kFinishing) {
     return false;
   }
-  const bool is_in_touch = now < notice_came_ + kNoticeLasts || now < record_as_of_ + kReadingLasts;
-  return is_in_touch || store_clock < known_->record.base_until;
+  const bool is_informed = now < notice_received_at_ + kNoticeTtl || now < record_as_of_ + kRecordTtl;
+  return is_informed || store_clock < known_->record.base_until;
 }
 
-bool TrafficGate::isTargetOpen(absl::Time now) const {
-  if (!isRunning() || known_->record.request_row == stopped_request_) {
+bool TrafficSplitter::isTargetOpen(absl::Time now) const {
+  if (!isRunning() || known_->record.request_row == stopped_request_row_) {
     return false;
   }
   // Once the base gets nothing more there is nowhere else to go.
   const bool is_only_side = known_->record.stage == RolloutStage::kFinishing;
-  return is_only_side || now < notice_came_ + kNoticeLasts;
+  return is_only_side || now < notice_received_at_ + kNoticeTtl;
 }
 
-bool TrafficGate::mayUse(const SoftwareVersion& version, absl::Duration store_clock, absl::Time now) const {
+bool TrafficSplitter::mayUse(const SoftwareVersion& version, absl::Duration store_clock,
+                             absl::Time now) const {
   if (isRunning() && version == known_->record.target) {
     return isTargetOpen(now);
   }
   return base() == version && isBaseOpen(store_clock, now);
 }
 
-std::optional<Side> TrafficGate::choose(uint64_t route, double place, absl::Duration store_clock,
-                                        absl::Time now) {
+std::optional<Variant> TrafficSplitter::choose(uint64_t route, double prompt_position,
+                                               absl::Duration store_clock, absl::Time now) {
   if (!isTargetOpen(now)) {
-    return isBaseOpen(store_clock, now) ? std::optional(Side::kBase) : std::nullopt;
+    return isBaseOpen(store_clock, now) ? std::optional(Variant::kBaseline) : std::nullopt;
   }
   const RolloutRecord& record = known_->record;
   if (record.stage == RolloutStage::kFinishing) {
-    return Side::kTarget;
+    return Variant::kTarget;
   }
   if (record.stage == RolloutStage::kMoving) {
-    return place < record.share ? Side::kTarget : Side::kBase;
+    return prompt_position < record.share ? Variant::kTarget : Variant::kBaseline;
   }
-  double& held = buckets_[route];
-  if (held < 1 || place >= settings_.share * kPromptsForShare) {
-    return Side::kBase;
+  double& bucket = buckets_[route];
+  if (bucket < 1 || prompt_position >= settings_.share * kPromptShareFactor) {
+    return Variant::kBaseline;
   }
-  held -= 1;
-  return Side::kTarget;
+  bucket -= 1;
+  return Variant::kTarget;
 }
 
-void TrafficGate::noteBaseAnswered(uint64_t route) {
+void TrafficSplitter::noteBaselineResponse(uint64_t route) {
   if (isRunning() && known_->record.stage == RolloutStage::kWatching) {
-    double& held = buckets_[route];
-    held = std::min(held + settings_.share * kShareUsed, kBucketHolds);
+    double& bucket = buckets_[route];
+    bucket = std::min(bucket + settings_.share * kShareUsedFraction, kBucketCapacity);
   }
 }
 
--- a/src/staged_rollout/traffic_gate.h
+++ b/src/staged_rollout/traffic_splitter.h
@@ -14,7 +14,7 @@
 #include <cstdint>
 #include <optional>
 
-#include "staged_rollout/answer_account.h"
+#include "staged_rollout/response_stats.h"
 #include "staged_rollout/rollout_record.h"
 
 namespace quincewick::staged_rollout {
@@ -31,13 +31,13 @@
   bool stops_target = false;  // it was found bad: nothing more is to go there; the row follows
 };
 
-struct GateSettings {
+struct TrafficSplitterSettings {
   double share = 0.1;  // of a service's requests that a version which may be bad gets at most
 };
 
-class TrafficGate {
+class TrafficSplitter {
  public:
-  explicit TrafficGate(GateSettings settings) : settings_(settings) {}
+  explicit TrafficSplitter(TrafficSplitterSettings settings) : settings_(settings) {}
 
   // A reading of the record; it was so at `as_of`, or later.
   void takeRecord(const KnownRecord& known, absl::Time as_of);
@@ -56,28 +56,29 @@
   std::optional<SoftwareVersion> base() const;
   // Whether a request may be sent to a server of that version now.
   bool mayUse(const SoftwareVersion& version, absl::Duration store_clock, absl::Time now) const;
-  // Which side a request of the route goes to; the target's share is taken if it is that. `place`: 0 to 1, by
-  // which requests are told apart that go over early: those of one prompt have the same. Nothing: neither
-  // side may be used.
-  std::optional<Side> choose(uint64_t route, double place, absl::Duration store_clock, absl::Time now);
+  // Which side a request of the route goes to; the target's share is taken if it is that. `prompt_position`:
+  // 0 to 1, by which requests are told apart that go over early: those of one prompt have the same. Nothing:
+  // neither side may be used.
+  std::optional<Variant> choose(uint64_t route, double prompt_position, absl::Duration store_clock,
+                                absl::Time now);
   // A server of the base answered a request of the route.
-  void noteBaseAnswered(uint64_t route);
-  SoftwareVersion versionOf(Side side) const;
+  void noteBaselineResponse(uint64_t route);
+  SoftwareVersion versionOf(Variant side) const;
 
   // What a notice is worth, and a reading of the record.
-  static constexpr absl::Duration kNoticeLasts = absl::Milliseconds(1500);
-  static constexpr absl::Duration kReadingLasts = absl::Milliseconds(2500);
+  static constexpr absl::Duration kNoticeTtl = absl::Milliseconds(1500);
+  static constexpr absl::Duration kRecordTtl = absl::Milliseconds(2500);
 
  private:
   void take(const KnownRecord& known);
   bool isBaseOpen(absl::Duration store_clock, absl::Time now) const;
   bool isTargetOpen(absl::Time now) const;
 
-  GateSettings settings_;
+  TrafficSplitterSettings settings_;
   std::optional<KnownRecord> known_;
   absl::Time record_as_of_ = absl::InfinitePast();
-  absl::Time notice_came_ = absl::InfinitePast();
-  uint64_t stopped_request_ = 0;  // of the operator: its target was found bad
+  absl::Time notice_received_at_ = absl::InfinitePast();
+  uint64_t stopped_request_row_ = 0;  // of the operator: its target was found bad
   std::optional<SoftwareVersion> guessed_base_;
   absl::flat_hash_map<uint64_t, double> buckets_;  // by route
 };
--- a/src/staged_rollout/version_verdict.h
+++ b/src/staged_rollout/version_verdict.h
@@ -13,36 +13,36 @@
 
 #include <cstdint>
 
-#include "staged_rollout/answer_account.h"
+#include "staged_rollout/response_stats.h"
 
 namespace quincewick::staged_rollout {
 
-enum class Verdict : uint8_t { kOpen, kGood, kBad };
+enum class Verdict : uint8_t { kUndecided, kGood, kBad };
 
 class VersionVerdict {
  public:
   // The chance of either false verdict, over all strata of a rollout.
-  static constexpr double kFalseVerdicts = 0.001;
+  static constexpr double kFalseVerdictProbability = 0.001;
 
   // What one gateway's account has more than when it told last: answers of both sides of one span.
-  void take(const AnswerAccount& more, absl::Time now);
+  void take(const ResponseStats& more, absl::Time now);
   // Judges the spans that are over.
   void judge(absl::Time now);
   // A version that is bad stays so.
   Verdict verdict() const;
   // Of the target, as far as told.
-  uint64_t badAnswers() const { return bad_answers_; }
-  uint64_t targetAnswers() const { return target_answers_; }
+  uint64_t badResponses() const { return bad_answers_; }
+  uint64_t targetResponses() const { return target_answers_; }
 
  private:
   // Answers of both sides in the span that runs: a second, or until the base has enough to compare with.
   struct Span {
     absl::Time began;
-    AnswerCounts base;
-    AnswerCounts target;
-    uint64_t base_of_all = 0;  // the base's answers since the beginning
+    ResponseCounts base;
+    ResponseCounts target;
+    uint64_t total_baseline = 0;  // the base's answers since the beginning
   };
-  struct Test {
+  struct SequentialTest {
     double evidence = 0;  // logarithm of the likelihood ratio; above 0 it speaks against the target
     uint64_t answers = 0;
 
@@ -51,15 +51,15 @@
 
   void judgeSpan(const Stratum& stratum, const Span& span);
   double thresholdForBad() const;
-  bool isEachRouteSeen() const;
+  bool isEveryRouteCovered() const;
 
   absl::btree_map<Stratum, Span> spans_;
-  absl::btree_map<Stratum, Test> tests_;
-  Test together_;
+  absl::btree_map<Stratum, SequentialTest> tests_;
+  SequentialTest overall_test_;
   bool is_bad_ = false;
   uint64_t bad_answers_ = 0;
   uint64_t target_answers_ = 0;
-  double unexplained_ = 0;  // bad answers beyond what the base's rate explains
+  double excess_bad_responses_ = 0;  // bad answers beyond what the base's rate explains
 };
 
 }  // namespace quincewick::staged_rollout
--- a/src/types/address_text.cc
+++ b/src/types/address_text.cc
@@ -15,7 +15,7 @@
   if (colon == std::string_view::npos) {
     return std::nullopt;
   }
-  const std::optional<uint64_t> port = parseWhole(text.substr(colon + 1));
+  const std::optional<uint64_t> port = parseUnsigned(text.substr(colon + 1));
   if (!port || *port > UINT16_MAX) {
     return std::nullopt;
   }
--- a/src/types/http_message.cc
+++ b/src/types/http_message.cc
@@ -63,7 +63,7 @@
   return known || listHasWord(connection_words, name);
 }
 
-std::optional<uint64_t> parseWhole(std::string_view text) {
+std::optional<uint64_t> parseUnsigned(std::string_view text) {
   uint64_t value = 0;
   const bool digits_only = !text.empty() && std::all_of(text.begin(), text.end(),
                                                         [](char sign) { return absl::ascii_isdigit(sign); });
@@ -106,7 +106,7 @@
   return absl::StrCat(view(method), " ", view(target), " HTTP/1.1\r\n", printFields(fields));
 }
 
-std::string printAnswerHead(int status, std::string_view reason, const HeaderFields& fields) {
+std::string printResponseHead(int status, std::string_view reason, const HeaderFields& fields) {
   return absl::StrCat("HTTP/1.1 ", status, " ", view(reason), "\r\n", printFields(fields));
 }
 
--- a/src/types/http_message.h
+++ b/src/types/http_message.h
@@ -47,14 +47,14 @@
 bool isHopByHop(std::string_view name, std::string_view connection_words);
 
 // A whole number without sign that fills the text; nothing otherwise.
-std::optional<uint64_t> parseWhole(std::string_view text);
+std::optional<uint64_t> parseUnsigned(std::string_view text);
 
 // The reason phrase of a status that this project sends.
 std::string_view reasonOf(int status);
 
 // "METHOD TARGET HTTP/1.1" or "HTTP/1.1 STATUS REASON", the fields, and the empty line.
 std::string printRequestHead(std::string_view method, std::string_view target, const HeaderFields& fields);
-std::string printAnswerHead(int status, std::string_view reason, const HeaderFields& fields);
+std::string printResponseHead(int status, std::string_view reason, const HeaderFields& fields);
 
 // One chunk of a chunked body around `bytes`; `bytes` isn't empty.
 std::string printChunk(std::string_view bytes);
--- a/tests/forwarding/server_directory_test.cc
+++ b/tests/forwarding/server_directory_test.cc
@@ -53,7 +53,7 @@
   }
   CHECK_FALSE(server->takesWork(kNow));
   CHECK(directory.ofService(kService).empty());
-  CHECK(directory.takeFreedSlots() == std::vector<EngineSlot>{server->slot});
+  CHECK(directory.takeFreedSlots() == std::vector<EngineNumber>{server->slot});
   directory.upsert(entry("b"));
   CHECK(directory.find("b")->slot == server->slot);
   CHECK(directory.takeFreedSlots().empty());
--- a/tests/forwarding/server_starts_test.cc
+++ b/tests/forwarding/server_starts_test.cc
@@ -151,7 +151,7 @@
   ServerEntry again = first->server->entry;
   again.started = kSecondStart;
   directory.upsert(again);
-  for (const EngineSlot slot : directory.takeFreedSlots()) {
+  for (const EngineNumber slot : directory.takeFreedSlots()) {
     placement.forget(slot);
   }
   const auto second = choose();
--- a/tests/gateway/gateway_test.cc
+++ b/tests/gateway/gateway_test.cc
@@ -9,8 +9,8 @@
 namespace {
 
 std::string streamHead(const std::string& signature) {
-  return printAnswerHead(200, "OK",
-                         {{"Quincewick-Response-Signature", signature}, {"Transfer-Encoding", "chunked"}});
+  return printResponseHead(200, "OK",
+                           {{"Quincewick-Response-Signature", signature}, {"Transfer-Encoding", "chunked"}});
 }
 
 std::string event(int id) {
--- a/tests/gateway/rollout_messages_test.cc
+++ b/tests/gateway/rollout_messages_test.cc
@@ -18,9 +18,9 @@
   for (size_t number = 0; number < strata; ++number) {
     const staged_rollout::Stratum stratum{number, number % 2 == 0};
     for (int answer = 1; answer < 2000; answer *= 2) {
-      account.counts.noteAnswer(staged_rollout::Side::kBase, stratum, absl::Milliseconds(answer));
+      account.counts.noteResponse(staged_rollout::Variant::kBaseline, stratum, absl::Milliseconds(answer));
     }
-    account.counts.noteFailure(staged_rollout::Side::kTarget, stratum);
+    account.counts.noteFailure(staged_rollout::Variant::kTarget, stratum);
   }
   return account;
 }
@@ -52,7 +52,7 @@
 
 TEST_CASE("a large account is cut into datagrams, and none of it is lost") {
   const RolloutAccount whole = account(40);
-  staged_rollout::AnswerAccount together;
+  staged_rollout::ResponseStats together;
   for (const RolloutAccount& part : cutIntoDatagrams(whole)) {
     CHECK(encodeRolloutMessage({std::nullopt, part}).size() <= peer::kMaximumDatagramPayload);
     CHECK(part.life == whole.life);
--- a/tests/gateway/stand_in_site.h
+++ b/tests/gateway/stand_in_site.h
@@ -102,7 +102,7 @@
 
 inline std::string answerOf(int status, HeaderFields fields, const std::string& body) {
   fields.push_back({"Content-Length", absl::StrCat(body.size())});
-  return printAnswerHead(status, "Any", fields) + body;
+  return printResponseHead(status, "Any", fields) + body;
 }
 
 // One request as a server got it.
--- a/tests/prefix/trunk_index_test.cc
+++ b/tests/prefix/prefix_index_test.cc
@@ -1,4 +1,4 @@
-#include "prefix/trunk_index.h"
+#include "prefix/prefix_index.h"
 
 #include <rapidcheck/catch.h>
 #include <catch2/catch.hpp>
@@ -10,8 +10,8 @@
 namespace quincewick::prefix {
 namespace {
 
-constexpr EngineSlot kEngine{3};
-constexpr EngineSlot kOther{5};
+constexpr EngineNumber kEngine{3};
+constexpr EngineNumber kOther{5};
 const absl::Time kStart = absl::FromUnixSeconds(1'000'000);
 
 BlockKey blockNumber(uint64_t number) {
@@ -27,8 +27,8 @@
   return chain;
 }
 
-TrunkView::Holder beliefOf(const TrunkIndex& index, EngineSlot engine, const PrefixChain& chain) {
-  for (const TrunkView::Holder& holder : index.view(chain, kStart).holders) {
+PrefixView::Holder beliefOf(const PrefixIndex& index, EngineNumber engine, const PrefixChain& chain) {
+  for (const PrefixView::Holder& holder : index.view(chain, kStart).holders) {
     if (holder.engine == engine) {
       return holder;
     }
@@ -70,7 +70,7 @@
 TEST_CASE("what is certain is true under lost, late, repeated and crossed events") {
   rc::prop("against the cache itself", [] {
     constexpr uint64_t kBlocks = 12;
-    TrunkIndex index(TrunkIndexSettings{});
+    PrefixIndex index(PrefixIndexSettings{});
     index.reset(kEngine);
     LoggedCache cache;
     std::vector<std::vector<CacheEvent>> batches;
@@ -108,7 +108,7 @@
 }
 
 TEST_CASE("a gap makes earlier beliefs doubtful until it is read again") {
-  TrunkIndex index(TrunkIndexSettings{});
+  PrefixIndex index(PrefixIndexSettings{});
   const CacheEvent first{Sequence(1), CacheEventKind::kStored, blockNumber(1)};
   const CacheEvent second{Sequence(2), CacheEventKind::kStored, blockNumber(2)};
   const CacheEvent third{Sequence(3), CacheEventKind::kStored, blockNumber(3)};
@@ -125,7 +125,7 @@
 }
 
 TEST_CASE("what a gap that can't be filled has hidden stays doubtful after a later gap is filled") {
-  TrunkIndex index(TrunkIndexSettings{});
+  PrefixIndex index(PrefixIndexSettings{});
   const auto stored = [](uint64_t sequence) {
     return CacheEvent{Sequence(sequence), CacheEventKind::kStored, blockNumber(sequence)};
   };
@@ -142,7 +142,7 @@
 
 TEST_CASE("a reset voids all of one engine and nothing of another") {
   rc::prop("void by incarnation", [] {
-    TrunkIndex index(TrunkIndexSettings{});
+    PrefixIndex index(PrefixIndexSettings{});
     const auto count = *rc::gen::inRange<uint32_t>(1, 20);
     index.recordHeld(kEngine, chainOf(0, count), kStart);
     index.recordHeld(kOther, chainOf(0, count), kStart);
@@ -157,7 +157,7 @@
 }
 
 TEST_CASE("an engine is believed to hold the leading run only") {
-  TrunkIndex index(TrunkIndexSettings{});
+  PrefixIndex index(PrefixIndexSettings{});
   index.reset(kEngine);
   index.recordHeld(kEngine, chainOf(0, 6), kStart);
   const CacheEvent evicted{Sequence(1), CacheEventKind::kEvicted, blockNumber(3)};
@@ -166,9 +166,9 @@
 }
 
 TEST_CASE("the number of blocks is bounded, and hot trunks outlive a flood of cold blocks") {
-  TrunkIndexSettings settings;
+  PrefixIndexSettings settings;
   settings.maximum_blocks = 256;
-  TrunkIndex index(settings);
+  PrefixIndex index(settings);
   const PrefixChain hot = chainOf(0, 16);
   for (uint64_t round = 0; round < 200; ++round) {
     index.observe(hot, kStart + absl::Milliseconds(100) * round);
@@ -181,23 +181,23 @@
 }
 
 TEST_CASE("requests are counted by block and decay") {
-  TrunkIndex index(TrunkIndexSettings{});
-  const absl::Duration half_life = TrunkIndexSettings{}.half_life;
+  PrefixIndex index(PrefixIndexSettings{});
+  const absl::Duration half_life = PrefixIndexSettings{}.half_life;
   for (int request = 0; request < 8; ++request) {
     index.observe(chainOf(0, 2), kStart);
   }
-  const TrunkView now = index.observe(chainOf(0, 3), kStart);
+  const PrefixView now = index.observe(chainOf(0, 3), kStart);
   CHECK(now.requests == std::vector<float>{8, 8, 0});
   CHECK(now.all_requests == 8);
-  const TrunkView later = index.view(chainOf(0, 3), kStart + half_life);
+  const PrefixView later = index.view(chainOf(0, 3), kStart + half_life);
   CHECK(later.requests[0] == Approx(4.5).epsilon(0.01));
   CHECK(later.requests[2] == Approx(0.5).epsilon(0.01));
 }
 
 TEST_CASE("a sampled index keeps its share and still sees how deep an engine's run goes") {
-  TrunkIndexSettings settings;
+  PrefixIndexSettings settings;
   settings.sampling = 4;
-  TrunkIndex index(settings);
+  PrefixIndex index(settings);
   const PrefixChain chain = chainOf(0, 400);
   index.recordHeld(kEngine, chain, kStart);
   CHECK(index.size() > 60);
--- a/tests/quota/quota_account_test.cc
+++ b/tests/quota/quota_account_test.cc
@@ -11,16 +11,17 @@
 // Of 8,500 tokens in a window: 850 and 1,150, so that half of the tolerance is 1,000.
 const LimitTolerance kTolerance{absl::Seconds(8), 0.1, 1150};
 
-double takeAll(QuotaAccount& account, absl::Time now, const KeeperRights& rights = KeeperRights::full()) {
+double takeAll(QuotaAccount& account, absl::Time now,
+               const OwnerAllowance& allowance = OwnerAllowance::full()) {
   double taken = 0;
-  while (account.take(10, kLimit, kTolerance, rights, now).is_granted) {
+  while (account.tryConsume(10, kLimit, kTolerance, allowance, now).is_granted) {
     taken += 10;
   }
   return taken;
 }
 
-const KeeperRights kStandIn = {1, true, false};
-const KeeperRights kBack = {1, false, true};
+const OwnerAllowance kStandIn = {1, true, false};
+const OwnerAllowance kBack = {1, false, true};
 
 TEST_CASE("the first in rank begins with a full bucket") {
   QuotaAccount account;
@@ -28,51 +29,52 @@
 }
 
 TEST_CASE("one that stands in, or was away, begins with an eighth of the tolerance") {
-  for (const KeeperRights& rights : {kStandIn, kBack}) {
+  for (const OwnerAllowance& allowance : {kStandIn, kBack}) {
     QuotaAccount account;
-    CHECK(takeAll(account, absl::UnixEpoch(), rights) == Approx(250).margin(10));
+    CHECK(takeAll(account, absl::UnixEpoch(), allowance) == Approx(250).margin(10));
   }
 }
 
-double takeAfterAnIdleTime(const KeeperRights& rights, absl::Duration idle) {
+double takeAfterAnIdleTime(const OwnerAllowance& allowance, absl::Duration idle) {
   QuotaAccount account;
   absl::Time now = absl::UnixEpoch();
   for (int step = 0; step < 100; ++step) {
-    account.take(1, kLimit, kTolerance, rights, now);
+    account.tryConsume(1, kLimit, kTolerance, allowance, now);
     now += absl::Milliseconds(100);
   }
-  return takeAll(account, now + idle, rights);
+  return takeAll(account, now + idle, allowance);
 }
 
 TEST_CASE("an account that is asked all the time saves up the burst and half of the tolerance") {
-  CHECK(takeAfterAnIdleTime(KeeperRights::full(), absl::ZeroDuration()) == Approx(1500).margin(10));
+  CHECK(takeAfterAnIdleTime(OwnerAllowance::full(), absl::ZeroDuration()) == Approx(1500).margin(10));
   CHECK(takeAfterAnIdleTime(kStandIn, absl::ZeroDuration()) == Approx(1500).margin(10));
   CHECK(takeAfterAnIdleTime(kBack, absl::ZeroDuration()) == Approx(250).margin(10));
 }
 
 TEST_CASE("after a second without a question one that stands in holds no more than at first") {
   CHECK(takeAfterAnIdleTime(kStandIn, absl::Seconds(30)) == Approx(250).margin(10));
-  CHECK(takeAfterAnIdleTime(KeeperRights::full(), absl::Seconds(30)) == Approx(1500).margin(10));
+  CHECK(takeAfterAnIdleTime(OwnerAllowance::full(), absl::Seconds(30)) == Approx(1500).margin(10));
 }
 
 TEST_CASE("who is denied hears when so much comes free, each after those before it") {
   QuotaAccount account;
   const absl::Time now = absl::UnixEpoch();
   takeAll(account, now);
-  const QuotaVerdict first = account.take(100, kLimit, kTolerance, KeeperRights::full(), now);
-  const QuotaVerdict second = account.take(100, kLimit, kTolerance, KeeperRights::full(), now);
+  const QuotaVerdict first = account.tryConsume(100, kLimit, kTolerance, OwnerAllowance::full(), now);
+  const QuotaVerdict second = account.tryConsume(100, kLimit, kTolerance, OwnerAllowance::full(), now);
   CHECK_FALSE(first.is_granted);
   CHECK(first.retry_after > absl::Milliseconds(80));
   CHECK(first.retry_after < absl::Milliseconds(120));
   CHECK(second.retry_after - first.retry_after >= absl::Milliseconds(80));
-  CHECK(account.take(100, kLimit, kTolerance, KeeperRights::full(), now + first.retry_after).is_granted);
+  CHECK(account.tryConsume(100, kLimit, kTolerance, OwnerAllowance::full(), now + first.retry_after)
+            .is_granted);
 }
 
 TEST_CASE("a request above all that can be saved up is served on credit, and what follows waits") {
   QuotaAccount account;
   const absl::Time now = absl::UnixEpoch();
-  CHECK(account.take(5000, kLimit, kTolerance, KeeperRights::full(), now).is_granted);
-  const QuotaVerdict next = account.take(100, kLimit, kTolerance, KeeperRights::full(), now);
+  CHECK(account.tryConsume(5000, kLimit, kTolerance, OwnerAllowance::full(), now).is_granted);
+  const QuotaVerdict next = account.tryConsume(100, kLimit, kTolerance, OwnerAllowance::full(), now);
   CHECK_FALSE(next.is_granted);
   CHECK(next.retry_after == absl::Milliseconds(3600));
 }
@@ -81,7 +83,7 @@
   QuotaAccount account;
   const absl::Time now = absl::UnixEpoch();
   takeAll(account, now);
-  account.putBack(200);
+  account.refund(200);
   CHECK(takeAll(account, now) == Approx(200).margin(10));
 }
 
@@ -89,13 +91,13 @@
   QuotaAccount account;
   absl::Time now = absl::UnixEpoch();
   for (int step = 0; step < 100; ++step) {
-    account.take(1, kLimit, kTolerance, KeeperRights::full(), now);
+    account.tryConsume(1, kLimit, kTolerance, OwnerAllowance::full(), now);
     now += absl::Milliseconds(100);
   }
   const RateLimit lowered{LimitUnit::kTokens, 10, 5, 1};
   const LimitTolerance none{absl::Seconds(8), 0.1, 0};
-  CHECK(account.take(100, lowered, none, KeeperRights::full(), now).is_granted);  // on credit, once
-  CHECK_FALSE(account.take(1, lowered, none, KeeperRights::full(), now).is_granted);
+  CHECK(account.tryConsume(100, lowered, none, OwnerAllowance::full(), now).is_granted);  // on credit, once
+  CHECK_FALSE(account.tryConsume(1, lowered, none, OwnerAllowance::full(), now).is_granted);
 }
 
 TEST_CASE(
@@ -108,7 +110,7 @@
     for (int step = 0; step < 2000; ++step) {
       now += absl::Milliseconds(*rc::gen::inRange(0, 30));
       const double cost = *rc::gen::inRange(1, 400);
-      if (account.take(cost, kLimit, kTolerance, KeeperRights::full(), now).is_granted) {
+      if (account.tryConsume(cost, kLimit, kTolerance, OwnerAllowance::full(), now).is_granted) {
         granted.emplace_back(now, cost);
         largest = std::max(largest, cost);
       }
--- a/tests/quota/quota_messages_test.cc
+++ b/tests/quota/quota_messages_test.cc
@@ -17,7 +17,7 @@
   CHECK(read.value().number == 7);
   CHECK(read.value().name == kDenial.name);
   CHECK(read.value().cost == 9190.5);
-  CHECK_FALSE(read.value().is_first);
+  CHECK_FALSE(read.value().is_first_candidate);
   CHECK(read.value().retry_after == kDenial.retry_after);
   for (size_t length = 0; length < bytes.size(); ++length) {
     CHECK(decodeQuotaMessage(bytes.substr(0, length)).has_error());
--- a/tests/quota/quota_site.h
+++ b/tests/quota/quota_site.h
@@ -34,14 +34,14 @@
   // `draw_cost`: of each request, in the limit's unit.
   using DrawCost = std::function<double(Site& site)>;
   Site(size_t count, RateLimit limit, const LimitTolerance& tolerance, double loss, uint64_t seed,
-       DrawCost draw_cost, Unanswered unanswered = Unanswered::kTakesShare)
+       DrawCost draw_cost, NoOwnerPolicy no_owner_policy = NoOwnerPolicy::kUseEvenShare)
       : gateways_(count),
         limit_(limit),
         tolerance_(tolerance),
         loss_(loss),
         random_(seed),
         draw_cost_(std::move(draw_cost)),
-        unanswered_(unanswered) {
+        no_owner_policy_(no_owner_policy) {
     for (size_t index = 0; index < count; ++index) {
       start(index);
     }
@@ -50,7 +50,7 @@
   void start(size_t index) {
     Gateway& gateway = gateways_[index];
     gateway.quotas = std::make_unique<SharedQuotas>(
-        idOf(index), tolerance_, [this](const LimitName&) { return &limit_; }, unanswered_);
+        idOf(index), tolerance_, [this](const LimitName&) { return &limit_; }, no_owner_policy_);
     gateway.quotas->setMembers(members());
     gateway.is_up = true;
     gateway.started = now_;
@@ -67,7 +67,7 @@
   Gateway& gateway(size_t index) { return gateways_[index]; }
   size_t size() const { return gateways_.size(); }
   // The gateway that most questions go to at first.
-  size_t keeper() {
+  size_t owner() {
     routing::KeeperRanks ranks;
     ranks.setMembers(members());
     return indexOf(ranks.candidates(kName.value()).front());
@@ -90,9 +90,9 @@
     for (size_t index = 0; index < gateways_.size(); ++index) {
       // A gateway that is cut off notices when its peers have been silent for a while.
       const absl::Time cut_until = gateways_[index].cut_until;
-      const bool is_alone = now_ < cut_until && cut_until - now_ < kCut - absl::Milliseconds(1200);
+      const bool is_isolated = now_ < cut_until && cut_until - now_ < kCut - absl::Milliseconds(1200);
       if (runs(index)) {
-        gateways_[index].quotas->noteBeat(is_alone, now_);
+        gateways_[index].quotas->onHeartbeat(is_isolated, now_);
       }
       if (runs(index) && gateways_[index].quotas->nextWakeup() <= now_) {
         QuotaActions actions;
@@ -200,7 +200,7 @@
   double loss_;
   std::mt19937_64 random_;
   DrawCost draw_cost_;
-  Unanswered unanswered_;
+  NoOwnerPolicy no_owner_policy_;
   absl::Time now_ = absl::UnixEpoch() + absl::Hours(1);
   std::multimap<absl::Time, Letter> under_way_;
   std::map<size_t, std::map<uint64_t, double>> waiting_;
--- a/tests/quota/server_rate_test.cc
+++ b/tests/quota/server_rate_test.cc
@@ -20,7 +20,7 @@
           loss,
           seed,
           [rate](Site&) { return 1 / rate; },
-          Unanswered::kDenies};
+          NoOwnerPolicy::kDenyRequest};
 }
 
 // What the site promises a server that named the rate.
@@ -63,7 +63,7 @@
 };
 
 void play(Site& site, uint32_t seed, const Second& second) {
-  const size_t index = second.concerns_keeper ? site.keeper() : seed % site.size();
+  const size_t index = second.concerns_keeper ? site.owner() : seed % site.size();
   Gateway& gateway = site.gateway(index);
   switch (second.event) {
     case Event::kStop:
--- a/tests/quota/shared_quotas_test.cc
+++ b/tests/quota/shared_quotas_test.cc
@@ -43,7 +43,7 @@
   for (int step = 0; step < 2000; ++step, now += absl::Milliseconds(5)) {
     const bool is_in_window = step >= 2000 - 1600;
     for (auto& [id, quotas] : gateways) {
-      quotas->noteBeat(false, now);
+      quotas->onHeartbeat(false, now);
       QuotaActions actions;
       // Not the first that the asker asked: each of them believes that it can't reach those before.
       quotas->onMessage(NodeId("asker"), {QuotaMessageKind::kAsk, 1, kName, 3000, false, {}}, now, actions);
@@ -81,7 +81,7 @@
   for (const RateLimit& limit : {kSmall, kLarge}) {
     Site site = makeSite(79, limit, 0, 3);
     run(site, absl::Seconds(10), limit.per_second / 1.8);
-    site.stop(site.keeper());
+    site.stop(site.owner());
     run(site, absl::Seconds(10), limit.per_second / 1.8);
     CAPTURE(limit.per_second);
     CHECK(site.denied <= site.asked / 50);
@@ -93,7 +93,7 @@
 TEST_CASE("a keeper that only some reach does not make the limit be given out twice") {
   Site site = makeSite(79, kLarge, 0, 4);
   run(site, absl::Seconds(5), kLarge.per_second * 7.5 / 1.8);
-  site.gateway(site.keeper()).delay = absl::Milliseconds(38);  // about half of its answers come too late
+  site.gateway(site.owner()).delay = absl::Milliseconds(38);  // about half of its answers come too late
   run(site, absl::Seconds(20), kLarge.per_second * 7.5 / 1.8);
   CHECK(site.mostInAWindow() <= 1);
 }
@@ -105,7 +105,7 @@
     Site site = makeSite(8, kLarge, 0, seed);
     run(site, absl::Seconds(10), kLarge.per_second / 1.8);
     run(site, absl::Seconds(1), kLarge.per_second * 7.5 / 1.8);
-    site.gateway(site.keeper()).cut_until = site.now() + kCut;
+    site.gateway(site.owner()).cut_until = site.now() + kCut;
     run(site, absl::Seconds(8), kLarge.per_second * 7.5 / 1.8);
     CAPTURE(seed);
     CHECK(site.mostInAWindow() <= 1);
@@ -130,7 +130,7 @@
     const double calm = limit.per_second / 1.8;
     for (int second = 0; second < 24; ++second) {
       const int what = *rc::gen::inRange(0, 8);
-      const size_t index = *rc::gen::inRange(0, 3) == 0 ? site.keeper() : seed % site.size();
+      const size_t index = *rc::gen::inRange(0, 3) == 0 ? site.owner() : seed % site.size();
       if (what == 0) {
         site.stop(index);
       } else if (what == 1 && !site.gateway(index).is_up) {
--- a/tests/routing/policy_wrappers_test.cc
+++ b/tests/routing/policy_wrappers_test.cc
@@ -22,9 +22,9 @@
   size_t place_;
 };
 
-EngineSlot place(PlacementPolicy& policy, const std::string& tenant) {
+EngineNumber place(PlacementPolicy& policy, const std::string& tenant) {
   EnginePool pool;
-  pool.engines = {EngineSlot{4}, EngineSlot{7}};
+  pool.engines = {EngineNumber{4}, EngineNumber{7}};
   InferenceRequest request;
   request.tenant = TenantId(tenant);
   std::mt19937 random(1);
@@ -36,9 +36,9 @@
   SplitPolicy split(std::make_unique<Fixed>(0), std::make_unique<Fixed>(1), 25);
   int in_share = 0;
   for (int tenant = 0; tenant < 1000; ++tenant) {
-    const EngineSlot first = place(split, absl::StrCat("t", tenant));
+    const EngineNumber first = place(split, absl::StrCat("t", tenant));
     REQUIRE(place(split, absl::StrCat("t", tenant)) == first);
-    in_share += first == EngineSlot{4} ? 1 : 0;
+    in_share += first == EngineNumber{4} ? 1 : 0;
   }
   CHECK(in_share > 200);
   CHECK(in_share < 300);
@@ -46,11 +46,11 @@
 
 TEST_CASE("a shadow never places, and agreement is counted") {
   ShadowPolicy different(std::make_unique<Fixed>(0), std::make_unique<Fixed>(1));
-  CHECK(place(different, "t") == EngineSlot{4});
+  CHECK(place(different, "t") == EngineNumber{4});
   CHECK(different.choices() == 1);
   CHECK(different.agreements() == 0);
   ShadowPolicy same(std::make_unique<Fixed>(1), std::make_unique<Fixed>(1));
-  CHECK(place(same, "t") == EngineSlot{7});
+  CHECK(place(same, "t") == EngineNumber{7});
   CHECK(same.agreements() == 1);
 }
 
--- a/tests/routing/router_test.cc
+++ b/tests/routing/router_test.cc
@@ -215,9 +215,9 @@
     EnginePool all;
     EnginePool rest;
     const auto count = *rc::gen::inRange<uint16_t>(2, 40);
-    const auto lost = static_cast<EngineSlot>(*rc::gen::inRange<uint16_t>(0, count));
+    const auto lost = static_cast<EngineNumber>(*rc::gen::inRange<uint16_t>(0, count));
     for (uint16_t number = 0; number < count; ++number) {
-      const auto engine = static_cast<EngineSlot>(number);
+      const auto engine = static_cast<EngineNumber>(number);
       const uint64_t hash = (number + 1) * 0xBF58476D1CE4E5B9U;
       all.engines.push_back(engine);
       all.identity_hashes.push_back(hash);
@@ -227,18 +227,18 @@
       }
     }
     const auto key = *rc::gen::arbitrary<uint64_t>();
-    std::vector<EngineSlot> before = rendezvousRank(key, all, count);
+    std::vector<EngineNumber> before = rendezvousRank(key, all, count);
     before.erase(std::remove(before.begin(), before.end(), lost), before.end());
     RC_ASSERT(rendezvousRank(key, rest, count) == before);
     RC_ASSERT(rendezvousRank(key, rest, 2) ==
-              std::vector<EngineSlot>(before.begin(), before.begin() + std::min<size_t>(2, before.size())));
+              std::vector<EngineNumber>(before.begin(), before.begin() + std::min<size_t>(2, before.size())));
   });
 }
 
 TEST_CASE("rendezvous hashing spreads keys evenly") {
   EnginePool pool;
   for (uint16_t number = 0; number < 10; ++number) {
-    pool.engines.push_back(static_cast<EngineSlot>(number));
+    pool.engines.push_back(static_cast<EngineNumber>(number));
     pool.identity_hashes.push_back((number + 1) * 0xBF58476D1CE4E5B9U);
   }
   std::vector<int> counts(10);
--- a/tests/soak/back_ends.cc
+++ b/tests/soak/back_ends.cc
@@ -162,7 +162,7 @@
     fields.push_back({kAttempt, attempt_});
     speak(fields);
     note().head_sent = reactor::steadyNow();
-    connection_->send(printAnswerHead(status, reasonOf(status), fields));
+    connection_->send(printResponseHead(status, reasonOf(status), fields));
   }
 
   // Adds what the back end says of itself, and notes what of it can be read.
--- a/tests/staged_rollout/rollout_record_test.cc
+++ b/tests/staged_rollout/rollout_record_test.cc
@@ -20,7 +20,7 @@
   record.stage_began = absl::Seconds(107);
   record.base_until = absl::Seconds(109);
   record.fence = Epoch(7);
-  record.bad_answers = 3;
+  record.bad_responses = 3;
   return record;
 }
 
--- a/tests/staged_rollout/rollout_site_test.cc
+++ b/tests/staged_rollout/rollout_site_test.cc
@@ -13,8 +13,8 @@
 #include <random>
 #include <vector>
 
-#include "staged_rollout/rollout_course.h"
-#include "staged_rollout/traffic_gate.h"
+#include "staged_rollout/rollout_state_machine.h"
+#include "staged_rollout/traffic_splitter.h"
 #include "staged_rollout/version_verdict.h"
 
 namespace quincewick::staged_rollout {
@@ -33,8 +33,8 @@
 const absl::Time kStart = absl::FromUnixSeconds(1000);
 
 struct Gateway {
-  TrafficGate gate{GateSettings{kShare}};
-  AnswerAccount account;
+  TrafficSplitter gate{TrafficSplitterSettings{kShare}};
+  ResponseStats account;
   uint64_t life = 1;
   bool is_up = true;
   bool hears_peers = true;
@@ -55,8 +55,8 @@
   std::mt19937 random;
   absl::Time now = kStart;
   int tick = 0;
-  KnownRecord row{firstRecord(kPool, kOld), 1};  // the store's
-  std::optional<OperatorsRow> asked;
+  KnownRecord row{initialRecord(kPool, kOld), 1};  // the store's
+  std::optional<OperatorRequestRow> asked;
   double requests_a_tick = 1;  // of a gateway
   double bad_part = 0;         // of the target's answers
   int bad_from = 0;            // tick
@@ -66,7 +66,7 @@
   VersionVerdict verdict;
   struct Told {
     uint64_t life = 0;
-    AnswerAccount counts;
+    ResponseStats counts;
     uint64_t confirmed_row = 0;
     absl::Time heard = absl::InfinitePast();
   };
@@ -76,7 +76,7 @@
   uint64_t to_target_watched = 0;
   uint64_t answered = 0;
   uint64_t before_asked = 0;
-  uint64_t bad_answers = 0;
+  uint64_t bad_responses = 0;
   absl::Time fiftieth_bad = absl::InfiniteFuture();
   uint64_t after_bound = 0;
   uint64_t at_stopped_base = 0;
@@ -134,20 +134,20 @@
     }
     const Stratum stratum{kRoute, false};
     const absl::Duration took = absl::Milliseconds(100 + 300 * drawn());
-    gateway.under_way.emplace_back(now + took, *side == Side::kTarget);
-    if (*side == Side::kBase) {
-      gateway.account.noteAnswer(Side::kBase, stratum, took);
-      gateway.gate.noteBaseAnswered(kRoute);
+    gateway.under_way.emplace_back(now + took, *side == Variant::kTarget);
+    if (*side == Variant::kBaseline) {
+      gateway.account.noteResponse(Variant::kBaseline, stratum, took);
+      gateway.gate.noteBaselineResponse(kRoute);
       return;
     }
     noteAtTarget(gateway);
     if (tick >= bad_from && drawn() < bad_part) {
-      gateway.account.noteFailure(Side::kTarget, stratum);
-      if (++bad_answers == 50) {
+      gateway.account.noteFailure(Variant::kTarget, stratum);
+      if (++bad_responses == 50) {
         fiftieth_bad = now;
       }
     } else {
-      gateway.account.noteAnswer(Side::kTarget, stratum, took);
+      gateway.account.noteResponse(Variant::kTarget, stratum, took);
     }
   }
 
@@ -169,8 +169,8 @@
     if (last.life != gateway.life) {
       last = Told{gateway.life, {}, 0, now};
     }
-    AnswerAccount news;
-    for (const Side side : {Side::kBase, Side::kTarget}) {
+    ResponseStats news;
+    for (const Variant side : {Variant::kBaseline, Variant::kTarget}) {
       for (const auto& [stratum, counts] : gateway.account.of(side)) {
         news.of(side)[stratum] = counts.since(last.counts.of(side)[stratum]);
       }
@@ -186,19 +186,19 @@
     if (!decides.is_up || !store_answers_decider) {
       return;
     }
-    Situation situation;
-    situation.clock = clock();
-    situation.operators_row = asked;
+    RolloutInputs inputs;
+    inputs.clock = clock();
+    inputs.operators_row = asked;
     verdict.judge(now);
-    situation.verdict = verdict.verdict();
-    situation.have_heard_confirmed = true;
+    inputs.verdict = verdict.verdict();
+    inputs.have_reachable_confirmed = true;
     for (const Told& one : told) {
       const bool is_heard = now - one.heard <= absl::Milliseconds(1600);
       const bool has_confirmed = one.confirmed_row == row.row;
-      situation.have_heard_confirmed = situation.have_heard_confirmed && (!is_heard || has_confirmed);
-      situation.is_any_silent = situation.is_any_silent || !has_confirmed;
+      inputs.have_reachable_confirmed = inputs.have_reachable_confirmed && (!is_heard || has_confirmed);
+      inputs.is_any_unreachable = inputs.is_any_unreachable || !has_confirmed;
     }
-    if (const auto next = nextRecord(row.record, situation, CourseSettings())) {
+    if (const auto next = nextTransition(row.record, inputs, RolloutMachineSettings())) {
       row = {next->record, row.row + 1};
       if (row.record.stage == RolloutStage::kCompleted) {
         checkBaseIsFree();
@@ -231,7 +231,7 @@
     }
   }
 
-  void ask(absl::Duration allowed) { asked = OperatorsRow{{kPool, kNew, allowed}, 10, false, clock()}; }
+  void ask(absl::Duration allowed) { asked = OperatorRequestRow{{kPool, kNew, allowed}, 10, false, clock()}; }
 
   // A gateway ends and starts again, or is cut off from peers or the store for a while.
   void trouble(size_t index, int kind) {
@@ -322,8 +322,8 @@
 }
 
 TEST_CASE("a notice of a decider that was replaced says nothing any more") {
-  TrafficGate gate(GateSettings{kShare});
-  RolloutRecord watching = firstRecord(kPool, kOld);
+  TrafficSplitter gate(TrafficSplitterSettings{kShare});
+  RolloutRecord watching = initialRecord(kPool, kOld);
   watching.target = kNew;
   watching.stage = RolloutStage::kWatching;
   RolloutRecord rolled_back = watching;
@@ -335,13 +335,13 @@
 }
 
 TEST_CASE("servers of a version that nobody asked for get nothing, whoever was there first or starts later") {
-  TrafficGate first(GateSettings{kShare});
+  TrafficSplitter first(TrafficSplitterSettings{kShare});
   first.noteListed({{kOld, 3}});
   first.noteListed({{kOld, 3}, {kNew, 9}});
   CHECK(first.base() == kOld);
   CHECK_FALSE(first.mayUse(kNew, absl::ZeroDuration(), kStart));
-  TrafficGate later(GateSettings{kShare});
-  later.takeRecord({firstRecord(kPool, kOld), 4}, kStart);
+  TrafficSplitter later(TrafficSplitterSettings{kShare});
+  later.takeRecord({initialRecord(kPool, kOld), 4}, kStart);
   later.noteListed({{kNew, 9}});
   CHECK(later.base() == kOld);
 }
--- a/tests/staged_rollout/version_verdict_test.cc
+++ b/tests/staged_rollout/version_verdict_test.cc
@@ -48,31 +48,31 @@
   VersionVerdict verdict;
   std::mt19937 random;
   int tick = 0;
-  int bad_answers = 0;
+  int bad_responses = 0;
   int fiftieth_bad = std::numeric_limits<int>::max() - kTicksToFindBad;  // its tick
 
   explicit Watched(uint32_t seed) : random(seed) {}
 
-  void answer(AnswerAccount& account, Side side, const Stratum& stratum, const Behaviour& behaviour) {
+  void answer(ResponseStats& account, Variant side, const Stratum& stratum, const Behaviour& behaviour) {
     const Answer answer = behaviour(tick, stratum, random);
     const bool is_bad = answer.is_failure || answer.took > absl::Milliseconds(400);
-    if (side == Side::kTarget && is_bad && ++bad_answers == 50) {
+    if (side == Variant::kTarget && is_bad && ++bad_responses == 50) {
       fiftieth_bad = tick;
     }
     if (answer.is_failure) {
       account.noteFailure(side, stratum);
     } else {
-      account.noteAnswer(side, stratum, answer.took);
+      account.noteResponse(side, stratum, answer.took);
     }
   }
 
   // In a tenth of a second 72 answers of the base and 8 of the target, over two routes, half of them crowded.
   void play(const Behaviour& base, const Behaviour& target) {
-    AnswerAccount account;
+    ResponseStats account;
     for (int number = 0; number < 80; ++number) {
       const Stratum stratum{number % 2 == 0 ? kLong : kShort, number / 2 % 2 == 0};
       const bool is_base = number < 72;
-      answer(account, is_base ? Side::kBase : Side::kTarget, stratum, is_base ? base : target);
+      answer(account, is_base ? Variant::kBaseline : Variant::kTarget, stratum, is_base ? base : target);
     }
     verdict.take(account, kStart + absl::Milliseconds(100) * tick);
     ++tick;
@@ -158,31 +158,31 @@
 
 TEST_CASE("a version that was hardly tried, or not on a route, is neither good nor bad") {
   VersionVerdict verdict;
-  AnswerAccount base_alone;
+  ResponseStats base_alone;
   for (int number = 0; number < 500; ++number) {
-    base_alone.noteAnswer(Side::kBase, {kLong, false}, absl::Milliseconds(100));
-    base_alone.noteAnswer(Side::kBase, {kShort, false}, absl::Milliseconds(100));
+    base_alone.noteResponse(Variant::kBaseline, {kLong, false}, absl::Milliseconds(100));
+    base_alone.noteResponse(Variant::kBaseline, {kShort, false}, absl::Milliseconds(100));
   }
   verdict.take(base_alone, kStart);
-  CHECK(verdict.verdict() == Verdict::kOpen);
-  AnswerAccount one_route;
+  CHECK(verdict.verdict() == Verdict::kUndecided);
+  ResponseStats one_route;
   for (int number = 0; number < 300; ++number) {
-    one_route.noteAnswer(Side::kTarget, {kLong, false}, absl::Milliseconds(100));
+    one_route.noteResponse(Variant::kTarget, {kLong, false}, absl::Milliseconds(100));
   }
   verdict.take(one_route, kStart);
   verdict.judge(kStart + absl::Seconds(5));
-  CHECK(verdict.verdict() == Verdict::kOpen);
+  CHECK(verdict.verdict() == Verdict::kUndecided);
 }
 
 TEST_CASE("an account that begins anew counts whole, a later one what it has more") {
-  AnswerCounts first;
+  ResponseCounts first;
   first.answers = 5;
   first.failures = 5;
-  AnswerCounts later = first;
+  ResponseCounts later = first;
   later.answers = 8;
   CHECK(later.since(first).answers == 3);
   CHECK(later.since(first).failures == 0);
-  AnswerCounts anew;
+  ResponseCounts anew;
   anew.answers = 2;
   CHECK(anew.since(first) == anew);
 }
