--- a/src/quota/quota_account.cc
+++ b/src/quota/quota_account.cc
@@ -5,10 +5,11 @@
 namespace quincewick::quota {
 namespace {
 
-// Of the tolerance: the bucket's room beyond the burst, and what a keeper begins with.
+// Fractions of the tolerance: the bucket's capacity beyond the burst, and a succeeding owner's initial
+// balance.
 constexpr double kHeadroomFraction = 0.5;
 constexpr double kInitialFraction = 0.125;
-// After so long without a question another keeper may have been asked.
+// After this time without requests another owner may have been asked.
 constexpr absl::Duration kOwnershipGap = absl::Seconds(1);
 
 double initialBalance(double tolerance, const OwnerAllowance& allowance) {
--- a/src/quota/quota_account.h
+++ b/src/quota/quota_account.h
@@ -1,9 +1,9 @@
-// What is left of one limit, as its keeper books it. Pure; `now` never goes back.
+// Token bucket of one limit, held by the limit's owner. Pure; `now` never goes back.
 //
-// A bucket that fills at the limit's rate. Half of the tolerance is room in the bucket; the other half covers
-// what keepers that follow one another give out besides each other. The first in rank begins with a full
-// bucket, one that stands in with an eighth of the tolerance, to which it falls back after a second in which
-// nobody asked: another may have kept the books.
+// The bucket fills at the limit's rate. Half of the tolerance is headroom in the bucket; the other half
+// covers what successive owners grant in parallel while ownership changes. The first in rank starts with a
+// full bucket. A stand-in starts with an eighth of the tolerance and falls back to that after a second
+// without requests, because another node may have owned the limit meanwhile.
 #pragma once
 
 #include <absl/time/time.h>
@@ -14,27 +14,28 @@
 
 struct QuotaVerdict {
   bool is_granted = false;
-  absl::Duration retry_after;  // where it was denied: when so much will have come free
+  absl::Duration retry_after;  // if denied: when the requested amount will be available
 };
 
-// What a keeper may give out.
+// How much of a limit an owner may grant.
 struct OwnerAllowance {
   double rate_fraction = 1;  // of the limit's rate
-  bool may_accumulate =
-      true;  // for bursts; false: another kept the books of late, and may have given the same out
-  bool is_first_in_rank = true;  // in rank: where nobody asked this one, nobody asked at all
-  double initial_fraction = 1;   // of what a keeper that follows another begins with
+  // Whether unused rate accumulates for bursts. False: another node owned the limit recently and may have
+  // granted the same amount.
+  bool may_accumulate = true;
+  bool is_first_in_rank = true;  // if this node got no requests, no other owner got any either
+  double initial_fraction = 1;   // of the balance that a succeeding owner starts with
 
   static OwnerAllowance full() { return {}; }
 };
 
 class QuotaAccount {
  public:
-  // Takes `cost`, or nothing. More than can be saved up may be taken on credit from a bucket that holds what
-  // a new keeper begins with.
+  // Consumes `cost` or nothing. A cost above the initial balance of a succeeding owner is granted on credit
+  // as soon as the bucket holds that initial balance.
   QuotaVerdict tryConsume(double cost, const RateLimit& limit, const LimitTolerance& tolerance,
                           const OwnerAllowance& allowance, absl::Time now);
-  // Puts back what was taken for a request that never ran.
+  // Returns what was consumed for a request that never ran.
   void refund(double cost) { balance_ += cost; }
 
   absl::Time lastRequest() const { return last_request_; }
@@ -43,8 +44,8 @@
   void accrue(const RateLimit& limit, const LimitTolerance& tolerance, const OwnerAllowance& allowance,
               absl::Time now);
 
-  double balance_ = 0;   // negative: owed
-  double deferred_ = 0;  // to those that were told when to come back, and may not have come yet
+  double balance_ = 0;   // negative: granted on credit
+  double deferred_ = 0;  // cost of denied requests that may still be waiting for their retry time
   absl::Time last_request_ = absl::InfinitePast();
 };
 
--- a/src/quota/quota_messages.cc
+++ b/src/quota/quota_messages.cc
@@ -39,7 +39,7 @@
   const QuotaMessage& message = decoded.value();
   const bool is_known = message.kind >= QuotaMessageKind::kAsk && message.kind <= QuotaMessageKind::kNotOwner;
   if (!is_known || !std::isfinite(message.cost) || message.cost < 0) {
-    return fail(ErrorCode::kInvalidArgument, "a message about a limit of no known kind or without a cost");
+    return fail(ErrorCode::kInvalidArgument, "quota message has an unknown kind or an invalid cost");
   }
   return decoded;
 }
--- a/src/quota/quota_messages.h
+++ b/src/quota/quota_messages.h
@@ -1,4 +1,4 @@
-// What gateways tell each other about limits. One datagram each, encoded by cereal.
+// Messages between gateways about limits. One datagram each, encoded by cereal.
 #pragma once
 
 #include <absl/time/time.h>
@@ -14,19 +14,19 @@
 namespace quincewick::quota {
 
 enum class QuotaMessageKind : uint8_t {
-  kAsk = 1,       // may a request of that cost start?
-  kGrant = 2,     // yes
-  kDeny = 3,      // no, come back after `retry_after`
-  kGiveBack = 4,  // what was granted never ran
-  kNotOwner = 5,  // another one, which ranks before this one, lives and keeps the books
+  kAsk = 1,       // request: may work of this cost start?
+  kGrant = 2,     // response: it may start
+  kDeny = 3,      // response: it may not; retry after `retry_after`
+  kGiveBack = 4,  // the granted work never ran; no response
+  kNotOwner = 5,  // response: a node that ranks before the sender is reachable and owns the limit
 };
 
 struct QuotaMessage {
   QuotaMessageKind kind = QuotaMessageKind::kAsk;
-  uint64_t number = 0;  // of the asker; its answer bears the same
+  uint64_t number = 0;  // chosen by the requester; the response carries the same
   LimitName name;
-  double cost = 0;  // in the limit's unit, as the asker's configuration has it; 0: are you there?
-  bool is_first_candidate = true;  // of a question: no other gateway was asked for the same request
+  double cost = 0;                 // in the limit's unit, by the requester's configuration; 0: liveness probe
+  bool is_first_candidate = true;  // of a request: no other gateway was asked before
   absl::Duration retry_after;
 };
 
--- a/src/quota/shared_quotas.cc
+++ b/src/quota/shared_quotas.cc
@@ -7,19 +7,19 @@
 namespace quincewick::quota {
 namespace {
 
-constexpr size_t kMaxCandidates = 3;  // gateways for one request
+constexpr size_t kMaxCandidates = 3;  // gateways asked for one request
 constexpr absl::Duration kProbeInterval = absl::Milliseconds(100);
-// What all gateways together give out while they take another for the keeper, of the overshoot that is
-// allowed.
+// Fraction of the allowed overshoot that all stand-ins together may grant while another gateway is the owner.
 constexpr double kStandInFraction = 0.5;
-constexpr absl::Duration kMaxHeartbeatGap = absl::Seconds(1);  // between beats of a process that runs
+constexpr absl::Duration kMaxHeartbeatGap = absl::Seconds(1);  // between heartbeats of a running process
 constexpr size_t kMaxAccounts = 4096;
-constexpr absl::Duration kNoOwnerRetryAfter = absl::Milliseconds(250);  // where no keeper answered
+constexpr absl::Duration kNoOwnerRetryAfter = absl::Milliseconds(250);  // if no owner responded
 
 }  // namespace
 
 void SharedQuotas::onHeartbeat(bool is_isolated, absl::Time now) {
-  const bool was_disconnected = is_isolated || now - last_heartbeat_ > kMaxHeartbeatGap;  // at its start, too
+  const bool was_disconnected =
+      is_isolated || now - last_heartbeat_ > kMaxHeartbeatGap;  // also true at start
   if (was_disconnected) {
     rejoining_until_ = now + tolerance_.window;
   }
@@ -71,8 +71,9 @@
   const bool is_owner = isOwner(name);
   const std::vector<NodeId> before = ranks_.before(name.value(), self_);
   probe(before, name, now, actions);
-  // Where some can't reach the keeper and others not the next one either, several stand in at the same time:
-  // by its rank each has half of what the one before it has, so that together they keep to one's part.
+  // Several gateways stand in at the same time if some requesters can't reach the owner and others can't
+  // reach the next in rank either. Each has half the share of the one before it in rank, so that together
+  // they stay within the fraction of one stand-in.
   const double share = std::exp2(-static_cast<double>(before.size()));
   const OwnerAllowance allowance = {is_owner ? 1 : tolerance_.overshoot * kStandInFraction * share,
                                     is_owner && now >= rejoining_until_, before.empty(),
@@ -100,7 +101,7 @@
   return candidates.empty() || candidates.front() == self_;
 }
 
-// Asks nodes that rank before this one whether they are there.
+// Checks whether nodes that rank before this one are reachable.
 void SharedQuotas::probe(const std::vector<NodeId>& nodes, const LimitName& name, absl::Time now,
                          QuotaActions& actions) {
   for (const NodeId& node : nodes) {
@@ -162,12 +163,12 @@
   const auto found = pending_.find(message.number);
   const bool is_awaited = found != pending_.end() && found->second.tried.back() == from;
   if (!is_awaited) {
-    return;  // it came too late: what it granted counts as used, which costs its holder a little
+    return;  // late response: its grant counts as used, a small loss for the limit's holder
   }
   PendingRequest& request = found->second;
   if (message.kind == QuotaMessageKind::kNotOwner) {
     for (const NodeId& node : ranks_.before(request.name.value(), from)) {
-      ranks_.noteHeard(node);  // by `from`
+      ranks_.noteHeard(node);  // `from` can reach it
     }
     tryNextOwner(message.number, request, now, actions);
     return;
@@ -206,7 +207,7 @@
   return next;
 }
 
-// Those out of use for a window hold nothing that a new account would not.
+// Accounts unused for a window hold the same state as new ones.
 void SharedQuotas::forgetIdleAccounts(absl::Time now) {
   if (owned_accounts_.size() < kMaxAccounts) {
     return;
--- a/src/quota/shared_quotas.h
+++ b/src/quota/shared_quotas.h
@@ -1,12 +1,13 @@
-// Limits over all gateways: one of these in each gateway, which asks, and keeps the books of some of them.
-// Pure: events and the time in, messages and decisions out; `now` never goes back.
+// Limits over all gateways. Each gateway runs one instance, which requests grants from the owners of limits
+// and owns some limits itself. Pure: events and the time in, messages and decisions out; `now` never goes
+// back.
 //
-// Each request under a limit asks the limit's keeper before it is sent anywhere. Where the keeper
-// doesn't answer, the next in rank is asked. A gateway that is asked though another one, which it can reach,
-// ranks before it says so, and decides on a small part of the limit only where the asker can't reach that
-// one: so the limit isn't given out twice while gateways see different ones. Whoever decides in place of a
-// gateway that ranks before it asks that one all the while whether it is there. A gateway that hears no other
-// one has an even share.
+// Each request under a limit needs a grant from the limit's owner before it is sent to a server. If the owner
+// doesn't respond, the next gateway in rank is asked. A gateway that is asked while a gateway ranking before
+// it is reachable responds so. It decides, with a small fraction of the limit, only if the requester can't
+// reach that other gateway: this keeps the limit from being granted twice while gateways disagree about who
+// is reachable. A gateway that decides in place of higher-ranking ones probes them all the while. An isolated
+// gateway uses an even share of the limit.
 #pragma once
 
 #include <absl/container/btree_map.h>
@@ -24,9 +25,9 @@
 namespace quincewick::quota {
 
 struct QuotaDecision {
-  uint64_t number = 0;  // as `ask` returned it
+  uint64_t number = 0;  // as returned by `ask`
   QuotaVerdict verdict;
-  NodeId keeper;  // who decided; empty: this gateway, by its own share
+  NodeId keeper;  // the owner that decided; empty: this gateway, by its even share
 };
 
 struct QuotaActions {
@@ -38,17 +39,17 @@
   std::vector<QuotaDecision> decisions;
 };
 
-// What a gateway does that hears others, while none of a limit's keepers answers it.
+// What a gateway that is not isolated does when none of a limit's owners responds.
 enum class NoOwnerPolicy : uint8_t {
-  kUseEvenShare,  // decides by its even share
-  // Denies for a moment. Where a share is less than one request, each gateway's first one would pass the
-  // limit many times over.
+  kUseEvenShare,  // decides by its even share of the limit
+  // Denies with a short retry delay. Where an even share is less than one request, the first request of each
+  // gateway together would exceed the limit many times over.
   kDenyRequest,
 };
 
 class SharedQuotas {
  public:
-  // The limit of that name; null: there is none.
+  // Returns the limit of that name; null if there is none.
   using LimitOf = std::function<const RateLimit*(const LimitName& name)>;
 
   SharedQuotas(NodeId self, LimitTolerance tolerance, LimitOf limit_of,
@@ -59,38 +60,37 @@
         no_owner_policy_(no_owner_policy) {}
 
   void setTolerance(const LimitTolerance& tolerance) { tolerance_ = tolerance; }
-  // All gateways of the site, this one too.
+  // All gateways of the site, including this one.
   void setMembers(std::vector<routing::KeeperMember> members) { ranks_.setMembers(std::move(members)); }
 
-  // Comes several times a second. `is_isolated`: no other gateway is heard, so that this one has its even
-  // share. After such a time, or one in which this process stood still, another has kept this gateway's
-  // books.
+  // Called several times a second. `is_isolated`: no other gateway is reachable, so this one uses its even
+  // share. After isolation, or a pause of this process, another gateway may have owned this one's limits.
   void onHeartbeat(bool is_isolated, absl::Time now);
 
-  // May a request under the limit start? Exactly one decision with the returned number follows, at once or
-  // within three times kResponseTimeout.
+  // Requests a grant of `cost`, in the limit's unit. Exactly one decision with the returned number follows,
+  // at once or within three times kResponseTimeout.
   uint64_t ask(const LimitName& name, double cost, absl::Time now, QuotaActions& actions);
-  // Nobody waits for the decision any more: it doesn't follow.
+  // Cancels the request: no decision follows.
   void forget(uint64_t number) { pending_.erase(number); }
-  // What the keeper granted never ran.
-  void giveBack(const LimitName& name, double cost, const NodeId& keeper, QuotaActions& actions);
+  // Returns a grant of `owner` whose work never ran.
+  void giveBack(const LimitName& name, double cost, const NodeId& owner, QuotaActions& actions);
 
   void onMessage(const NodeId& from, const QuotaMessage& message, absl::Time now, QuotaActions& actions);
-  // Questions whose time is over go to the next in rank.
+  // Sends requests whose deadline has passed to the next owner in rank.
   void onTick(absl::Time now, QuotaActions& actions);
-  // When the next tick is due.
+  // When the next onTick is due; InfiniteFuture if there is none.
   absl::Time nextWakeup() const;
 
-  // How long an answer is awaited: across zones and through a busy gateway it takes some milliseconds, and a
-  // request whose target is 120 ms must still be served in time after two that didn't answer.
+  // A response takes some milliseconds across zones and through a busy gateway. A request with a 120 ms
+  // target must still be served in time after two owners that didn't respond.
   static constexpr absl::Duration kResponseTimeout = absl::Milliseconds(40);
 
  private:
   struct PendingRequest {
     LimitName name;
     double cost = 0;
-    bool is_probe = false;  // asked only to see whether the keeper is there
-    std::vector<NodeId> tried;
+    bool is_probe = false;      // only checks whether the node is reachable
+    std::vector<NodeId> tried;  // nodes that were asked, in order
     absl::Time deadline;
   };
 
@@ -108,15 +108,15 @@
   LimitOf limit_of_;
   NoOwnerPolicy no_owner_policy_;
   routing::KeeperRanks ranks_;
-  absl::btree_map<uint64_t, PendingRequest> pending_;  // without an answer, by rising numbers
+  absl::btree_map<uint64_t, PendingRequest> pending_;  // without a response, by number
   absl::btree_map<LimitName, QuotaAccount> owned_accounts_;
   absl::btree_map<LimitName, QuotaAccount> even_share_accounts_;
   absl::btree_map<NodeId, absl::Time> last_probe_;
   uint64_t last_number_ = 0;
   bool is_isolated_ = false;
   absl::Time last_heartbeat_ = absl::InfinitePast();
-  absl::Time rejoining_until_ =
-      absl::InfinitePast();  // before it, others may still give out what this one may
+  // Until then other owners may still grant the same amounts as this one.
+  absl::Time rejoining_until_ = absl::InfinitePast();
 };
 
 }  // namespace quincewick::quota
