--- a/src/types/address_text.h
+++ b/src/types/address_text.h
@@ -10,7 +10,7 @@
 namespace quincewick {
 
 std::string printAddress(const Address& address);
-// Nothing where there is no port, or none that fits.
+// Returns nothing if the port is missing or out of range.
 std::optional<Address> parseAddress(std::string_view text);
 
 }  // namespace quincewick
--- a/src/types/back_end.h
+++ b/src/types/back_end.h
@@ -1,4 +1,4 @@
-// What a node knows of a back end: an engine that serves models, or a server that runs actions.
+// A back end as a node knows it: an engine that serves models, or a server that runs actions.
 #pragma once
 
 #include <cstdint>
@@ -38,7 +38,7 @@
   friend bool operator==(const LoadedModel&, const LoadedModel&) = default;
 };
 
-// A back end as listed by the platform and corrected by its own answers.
+// A back end as listed by the platform, corrected by its own responses.
 struct BackEnd {
   BackEndId id;
   BackEndKind kind = BackEndKind::kEngine;
@@ -50,14 +50,14 @@
   std::vector<LoadedModel> models;
 };
 
-// An engine's own report of its load. It lags: the holder must add the work it has sent since.
+// An engine's own report of its load. It lags: its reader must add the work it has sent since.
 struct EngineLoad {
   Incarnation incarnation;
   uint32_t running = 0;                // requests being decoded
   uint32_t waiting = 0;                // requests queued at the engine
-  uint64_t queued_prefill = 0;         // characters of prompt that wait to be computed
+  uint64_t queued_prefill = 0;         // prompt characters waiting for prefill
   uint32_t cached_blocks = 0;          // blocks held now
-  uint32_t cache_capacity_blocks = 0;  // blocks that fit
+  uint32_t cache_capacity_blocks = 0;  // capacity in blocks
 };
 
 }  // namespace quincewick
--- a/src/types/block_key.h
+++ b/src/types/block_key.h
@@ -1,4 +1,4 @@
-// Names for blocks of prompt: what engines cache and routers place.
+// Keys of prompt blocks, the unit that engines cache and that routers place requests by.
 #pragma once
 
 #include <compare>
@@ -12,7 +12,7 @@
 
 namespace quincewick {
 
-// 128 bits that name one block together with all blocks before it and the root they hang from.
+// 128 bits that identify a block together with all blocks before it and their root.
 struct BlockKey {
   uint64_t high = 0;
   uint64_t low = 0;
@@ -34,7 +34,7 @@
 // 32 lower-case hexadecimal digits.
 std::string blockKeyToHex(const BlockKey& key);
 
-// What a chain of blocks hangs from: equal text under another root shares no key.
+// The root of a chain of blocks. Equal text under different roots shares no key.
 struct PrefixRoot {
   TenantId isolation_domain;  // tenants in one domain may share cached blocks; by default the tenant itself
   ModelName model;
@@ -44,7 +44,7 @@
   friend bool operator==(const PrefixRoot&, const PrefixRoot&) = default;
 };
 
-// A prompt as the keys of its full blocks in order, and the part that fills no block.
+// A prompt as the keys of its full blocks in order, and the size of the remainder.
 struct PrefixChain {
   std::vector<BlockKey> blocks;
   uint32_t block_size = 0;  // characters in a block
--- a/src/types/bounded_archive.h
+++ b/src/types/bounded_archive.h
@@ -1,5 +1,5 @@
-// Texts and lists for cereal whose lengths are checked before memory is taken: for records in stores and
-// messages of peers.
+// Texts and lists for cereal whose lengths are checked before memory is allocated: for stored records and
+// peer messages.
 #pragma once
 
 #include <cereal/archives/portable_binary.hpp>
@@ -17,9 +17,9 @@
 
 namespace quincewick {
 
-// The greatest text in a record or message, in bytes.
+// Longest text in a record or message, in bytes.
 inline constexpr uint32_t kMaximumArchivedText = 1U << 20;
-// The greatest number of elements of a list.
+// Largest number of elements in a list.
 inline constexpr uint32_t kMaximumArchivedElements = 200'000;
 
 template <class Archive>
@@ -44,7 +44,7 @@
   }
 }
 
-// Grows the list as its elements arrive, so that a false length costs nothing.
+// Grows the list as elements are read, so that a false length allocates nothing.
 template <class Archive, class Element>
 void archiveList(Archive& archive, std::vector<Element>& elements, uint32_t most = kMaximumArchivedElements) {
   auto count = static_cast<uint32_t>(elements.size());
@@ -73,7 +73,7 @@
   return out.str();
 }
 
-// Decodes untrusted bytes; kInvalidArgument where they are no T, or more than one.
+// Decodes untrusted bytes. Errors: kInvalidArgument if they aren't exactly one T.
 template <class T>
 Result<T> decodeArchive(std::string_view bytes) {
   try {
--- a/src/types/error.h
+++ b/src/types/error.h
@@ -20,7 +20,7 @@
   kUnauthenticated,    // no key, or an unknown, expired or foreign one
   kPermissionDenied,   // the key is known but lacks the role
   kNotFound,           // the named thing does not exist
-  kConflict,           // another writer won, or a key was reused with another body
+  kConflict,           // another writer came first, or a key was reused with another body
   kResourceExhausted,  // a limit, quota or bounded queue is full
   kDeadlineExceeded,   // the time allowed ran out
   kUnavailable,        // the peer cannot be reached or is not ready
@@ -42,7 +42,7 @@
   ErrorCode code = ErrorCode::kInternal;
   std::string message;  // one line of plain English, without secrets
   Execution execution = Execution::kNotRun;
-  absl::Duration retry_after = absl::ZeroDuration();  // when a repeat may succeed; zero: no advice
+  absl::Duration retry_after = absl::ZeroDuration();  // when a retry may succeed; zero: unknown
 };
 
 // Returns the code's stable, lower-case name as used in JSON bodies and logs.
--- a/src/types/http_message.h
+++ b/src/types/http_message.h
@@ -1,4 +1,4 @@
-// The head of an HTTP/1.1 message as it came: names, values and their order are kept.
+// The head of an HTTP/1.1 message as received: names, values and their order are kept.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 
 using HeaderFields = std::vector<HeaderField>;
 
-// A request's or an answer's start line and fields. Of the start line, only its own half is filled.
+// Start line and fields of a request (method, target) or a response (status, reason).
 struct HttpHead {
   std::string method;
   std::string target;
@@ -28,7 +28,7 @@
   HeaderFields fields;
 };
 
-// One call of an interface, whole.
+// A complete HTTP request.
 struct HttpCall {
   std::string method;
   std::string target;
@@ -36,17 +36,17 @@
   std::string body;
 };
 
-// Returns the first value under the name, whatever its case; nothing where there is none.
+// Returns the first value of the field, or null. The name is case-insensitive.
 const std::string* findField(const HeaderFields& fields, std::string_view name);
 
-// Whether the field's comma-separated list holds the word, whatever its case.
+// Whether the field's comma-separated list contains the word, case-insensitively.
 bool fieldHasWord(const HeaderFields& fields, std::string_view name, std::string_view word);
 
-// Whether a field speaks of one connection only, so that it is never passed on. `connection_words` is the
+// Whether a field is hop-by-hop, so that it is never forwarded. `connection_words` is the
 // value of the message's Connection field.
 bool isHopByHop(std::string_view name, std::string_view connection_words);
 
-// A whole number without sign that fills the text; nothing otherwise.
+// Parses a decimal number without sign. Returns nothing if the text is anything else.
 std::optional<uint64_t> parseUnsigned(std::string_view text);
 
 // The reason phrase of a status that this project sends.
@@ -56,7 +56,7 @@
 std::string printRequestHead(std::string_view method, std::string_view target, const HeaderFields& fields);
 std::string printResponseHead(int status, std::string_view reason, const HeaderFields& fields);
 
-// One chunk of a chunked body around `bytes`; `bytes` isn't empty.
+// One chunk of a chunked body. `bytes` isn't empty.
 std::string printChunk(std::string_view bytes);
 inline constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
--- a/src/types/inference_request.h
+++ b/src/types/inference_request.h
@@ -1,4 +1,4 @@
-// A request for tokens, as decision logic sees it: no text, only what decisions need.
+// An inference request without its text: only what placement and admission decisions need.
 #pragma once
 
 #include <absl/time/time.h>
@@ -18,7 +18,7 @@
   RequestKind kind;
   ModelName model;
   AdapterName adapter;
-  Labels labels;  // the tenant's and the kind's labels, the request's own winning
+  Labels labels;  // of the tenant and the kind; the request's own take precedence
   Urgency urgency = Urgency::kStandard;
   absl::Time arrival;
   absl::Time deadline = absl::InfiniteFuture();  // for the first token
--- a/src/types/labels.h
+++ b/src/types/labels.h
@@ -1,4 +1,4 @@
-// Labels: the words operators attach to tenants, request kinds and back ends.
+// Labels that operators attach to tenants, request kinds and back ends.
 #pragma once
 
 #include <absl/container/btree_map.h>
--- a/src/types/operator_action.h
+++ b/src/types/operator_action.h
@@ -1,4 +1,4 @@
-// What an operator may ask of a node, by the role that it takes.
+// Operator actions on a node, grouped by the role that they require.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,7 @@
 namespace quincewick {
 
 enum class OperatorAction : uint8_t {
-  kRead,             // look at policy, status, explanations
+  kRead,             // read policy, status and explanations
   kControl,          // drain, resume, roll out
   kChangePolicy,     // change anything but operators
   kChangeOperators,  // change operators and their keys
--- a/src/types/platform.h
+++ b/src/types/platform.h
@@ -14,7 +14,7 @@
 
 namespace quincewick {
 
-// The version of an absent item.
+// Version of an absent item.
 inline constexpr uint64_t kAbsentItemVersion = 0;
 
 // An item of the transactional table. `version` rises with each write of the key.
@@ -39,7 +39,7 @@
 };
 
 // All writes take effect at once if all conditions hold; otherwise none does. The service knows no operation
-// ids: a writer that must recognise its own write after a lost answer puts an id into a value and reads it
+// ids: a writer that must recognise its own write after a lost response puts an id into a value and reads it
 // back.
 struct TableTransaction {
   std::vector<TableCondition> conditions;
@@ -81,12 +81,13 @@
 using PlatformRequest = std::variant<TableTransaction, TableRead, TableScan, ObjectPut, ObjectGet,
                                      ObjectDelete, ObjectList, MachineListRead>;
 
-// The transaction took effect; the versions of the written keys, in the order of the writes (0: deleted).
+// The transaction took effect. Holds the versions of the written keys, in the order of the writes (0:
+// deleted).
 struct TableCommitted {
   std::vector<uint64_t> versions;
 };
 
-// A condition did not hold, nothing was written; the items that the conditions named, as they are.
+// A condition did not hold and nothing was written. Holds the current items that the conditions name.
 struct TableConflict {
   std::vector<TableItem> items;
 };
@@ -121,21 +122,21 @@
   std::vector<Machine> machines;
 };
 
-// An Error says with its code what is known: kResourceExhausted (rate-limited, not run), kUnavailable (not
+// The code of an Error says what is known: kResourceExhausted (rate-limited, not run), kUnavailable (not
 // run), kOutcomeUnknown (it may have taken effect), kNotFound (no such object).
 using PlatformResult = std::variant<TableCommitted, TableConflict, TableItems, ObjectStored, ObjectContent,
                                     ObjectNames, MachineList, Error>;
 
-// Ties a result to its request; unique within one module instance.
+// Matches a result to its request; unique within one module instance.
 using PlatformCallId = StrongNumber<struct PlatformCallIdTag>;
 
-// An action of decision logic: carry out `request` and hand the result back as a PlatformReply.
+// An action of decision logic: run `request` and return the result as a PlatformReply.
 struct PlatformCall {
   PlatformCallId id;
   PlatformRequest request;
 };
 
-// The event that answers a PlatformCall. It may come late, and after a newer one's.
+// The result of a PlatformCall. It may arrive late, and after that of a newer call.
 struct PlatformReply {
   PlatformCallId id;
   PlatformResult result;
--- a/src/types/urgency.h
+++ b/src/types/urgency.h
@@ -10,8 +10,8 @@
 
 // Ordered: a smaller value is served first.
 enum class Urgency : uint8_t {
-  kUrgent = 0,      // somebody waits at this moment for the first token
-  kStandard = 1,    // interactive, some wait is tolerable
+  kUrgent = 0,      // a user is waiting for the first token
+  kStandard = 1,    // interactive; some wait is tolerable
   kDeferrable = 2,  // may wait minutes
 };
 
@@ -21,7 +21,7 @@
 // Returns "urgent", "standard" or "deferrable", as configuration files spell it.
 std::string_view urgencyName(Urgency urgency);
 
-// The inverse of urgencyName; nothing for an unknown name.
+// The inverse of urgencyName; returns nothing for an unknown name.
 std::optional<Urgency> urgencyFromName(std::string_view name);
 
 }  // namespace quincewick
