--- a/src/gateway/rollout_director.cc
+++ b/src/gateway/rollout_director.cc
@@ -165,7 +165,7 @@
     core_.log.event("rollout_step", now)
         .with("service", service.value())
         .with("stage", nameOf(next->record.stage))
-        .with("why", next->why)
+        .with("why", next->reason)
         .with("bad_answers", static_cast<int64_t>(judged.verdict.badResponses()))
         .with("answers", static_cast<int64_t>(judged.verdict.targetResponses()));
     write(next->record, known.row);
--- a/src/quota/quota_account.h
+++ b/src/quota/quota_account.h
@@ -1,7 +1,7 @@
 // Token bucket of one limit, held by the limit's owner. Pure; `now` never goes back.
 //
 // The bucket fills at the limit's rate. Half of the tolerance is headroom in the bucket; the other half
-// covers what successive owners grant in parallel while ownership changes. The first in rank starts with a
+// covers what successive owners grant alongside each other. The first in rank starts with a
 // full bucket. A stand-in starts with an eighth of the tolerance and falls back to that after a second
 // without requests, because another node may have owned the limit meanwhile.
 #pragma once
--- a/src/staged_rollout/response_stats.cc
+++ b/src/staged_rollout/response_stats.cc
@@ -55,14 +55,14 @@
   return kLatencyBuckets;
 }
 
-void ResponseStats::noteResponse(Variant side, const Stratum& stratum, absl::Duration took) {
-  ResponseCounts& counts = of(side)[stratum];
+void ResponseStats::noteResponse(Variant variant, const Stratum& stratum, absl::Duration took) {
+  ResponseCounts& counts = of(variant)[stratum];
   ++counts.answers;
   ++counts.times[latencyBucketOf(took)];
 }
 
-void ResponseStats::noteFailure(Variant side, const Stratum& stratum) {
-  ResponseCounts& counts = of(side)[stratum];
+void ResponseStats::noteFailure(Variant variant, const Stratum& stratum) {
+  ResponseCounts& counts = of(variant)[stratum];
   ++counts.answers;
   ++counts.failures;
 }
--- a/src/staged_rollout/rollout_record.cc
+++ b/src/staged_rollout/rollout_record.cc
@@ -45,7 +45,7 @@
   uint8_t format_version = kFormatVersion;
   archive(format_version);
   if (format_version != kFormatVersion) {
-    throw cereal::Exception("a form that is not known");
+    throw cereal::Exception("unknown format version of a rollout record");
   }
   archiveName(archive, record.service);
   archiveName(archive, record.base);
@@ -57,7 +57,7 @@
     const bool is_sound =
         stage <= static_cast<uint8_t>(RolloutStage::kRolledBack) && record.share >= 0 && record.share <= 1;
     if (!is_sound) {
-      throw cereal::Exception("a stage or share that can't be");
+      throw cereal::Exception("rollout record has an invalid stage or share");
     }
     record.stage = static_cast<RolloutStage>(stage);
   }
--- a/src/staged_rollout/rollout_state_machine.cc
+++ b/src/staged_rollout/rollout_state_machine.cc
@@ -8,21 +8,24 @@
 
 using forwarding::RolloutState;
 
-// From the first step until all is written, with a margin for a decider that ends meanwhile.
+// From the first step until the final record is written, with a margin for a lease holder that crashes
+// meanwhile.
 constexpr absl::Duration kMoveDuration = absl::Seconds(5);
-// Gateways that know nothing new stop using the base so long before what is planned as its last moment.
+// Gateways that receive no updates stop using the baseline this long before its planned end, the deadline.
 constexpr absl::Duration kBaseExpiryMargin = absl::Milliseconds(2800);
 constexpr absl::Duration kStepDuration = absl::Milliseconds(400);
 constexpr std::array kSteps = {0.25, 0.5, 1.0};
-// A good verdict may come so much later than planned and still be carried out.
+// A good verdict is planned for kMoveDuration before the deadline and still acted on until this long before
+// it.
 constexpr absl::Duration kLatestMoveBeforeDeadline = absl::Milliseconds(2500);
-// Before the deadline: a rollout that could not be judged is rolled back.
+// A rollout without a verdict this long before the deadline is rolled back.
 constexpr absl::Duration kVerdictCutoff = absl::Milliseconds(700);
-// What silent gateways had under way at the base when they stopped using it.
+// Requests that unreachable gateways have in flight at the baseline when they stop using it end within this.
 constexpr absl::Duration kInFlightRequestTime = absl::Seconds(2);
-// A silent gateway learns from the store, or its knowledge runs out.
+// An unreachable gateway stops using the baseline within this time: it reads the record from the store, or
+// its last update expires.
 constexpr absl::Duration kUnreachableStopDelay = absl::Milliseconds(2600);
-// Less leaves nothing to watch.
+// A shorter rollout leaves no time to watch the target.
 constexpr absl::Duration kMinWatchDuration = absl::Seconds(2);
 
 RolloutRecord atStage(RolloutRecord record, RolloutStage stage, const RolloutInputs& inputs) {
@@ -32,17 +35,19 @@
   return record;
 }
 
-RolloutTransition rolledBack(const RolloutRecord& record, const RolloutInputs& inputs, std::string_view why) {
+RolloutTransition rolledBack(const RolloutRecord& record, const RolloutInputs& inputs,
+                             std::string_view reason) {
   RolloutRecord next = atStage(record, RolloutStage::kRolledBack, inputs);
   next.share = 0;
-  return {next, why};
+  return {next, reason};
 }
 
-RolloutTransition completed(const RolloutRecord& record, const RolloutInputs& inputs, std::string_view why) {
+RolloutTransition completed(const RolloutRecord& record, const RolloutInputs& inputs,
+                            std::string_view reason) {
   RolloutRecord next = atStage(record, RolloutStage::kCompleted, inputs);
   next.base = next.target;
   next.share = 1;
-  return {next, why};
+  return {next, reason};
 }
 
 RolloutTransition startRollout(const RolloutRecord& record, const RolloutInputs& inputs,
@@ -111,7 +116,7 @@
   return RolloutTransition{next, "next_step"};
 }
 
-// Silent gateways have stopped using the base once what they may know has run out.
+// Unreachable gateways have stopped using the baseline once their last possible update has expired.
 std::optional<RolloutTransition> afterFinishing(const RolloutRecord& record, const RolloutInputs& inputs) {
   if (!inputs.have_reachable_confirmed) {
     return std::nullopt;
--- a/src/staged_rollout/rollout_state_machine.h
+++ b/src/staged_rollout/rollout_state_machine.h
@@ -1,5 +1,5 @@
-// How a rollout goes on: from what its record says and what the decider knows now to the next record. Pure;
-// whoever decides, and whenever it took over, comes to the same.
+// Rollout state machine: maps a rollout's record and the lease holder's current inputs to the next record.
+// Pure; every lease holder gets the same result, whenever it took over.
 #pragma once
 
 #include <absl/time/time.h>
@@ -14,42 +14,42 @@
 
 namespace quincewick::staged_rollout {
 
-// The operator's row for one service, as it was read last.
+// The operator's row for one service, as last read.
 struct OperatorRequestRow {
   forwarding::RolloutRequest request;
-  uint64_t row = 0;      // the store's version of it
-  bool is_gone = false;  // the operator took the request back
-  absl::Duration seen;   // by the store's clock, at first
+  uint64_t row = 0;      // the store's version of the row
+  bool is_gone = false;  // the operator withdrew the request
+  absl::Duration seen;   // when it was first read, by the store's clock
 };
 
 struct RolloutInputs {
   absl::Duration clock;  // the store's
   std::optional<OperatorRequestRow> operators_row;
   Verdict verdict = Verdict::kUndecided;
-  uint64_t bad_responses = 0;  // of the target, as far as told
-  // Of the gateways that are heard: all have confirmed that nothing of theirs runs at the base.
+  uint64_t bad_responses = 0;  // of the target, as far as reported
+  // All reachable gateways have confirmed that none of their requests runs at the baseline.
   bool have_reachable_confirmed = false;
-  bool is_any_unreachable = false;  // of all gateways that there may be
+  bool is_any_unreachable = false;  // of all gateways that may exist
 };
 
 struct RolloutMachineSettings {
-  absl::Duration key_revocation =
-      absl::Seconds(5);  // who reads nothing for so long sends nothing under a key
+  // A gateway that can't read the store for this long sends nothing under a key.
+  absl::Duration key_revocation = absl::Seconds(5);
 };
 
 struct RolloutTransition {
   RolloutRecord record;
-  std::string_view why;  // for the log
+  std::string_view reason;  // for the log
 };
 
-// Nothing: it stays as it is. The record's fence is the writer's to set.
+// Returns nothing if the record stays as it is. The writer sets the record's fence.
 std::optional<RolloutTransition> nextTransition(const RolloutRecord& record, const RolloutInputs& inputs,
                                                 const RolloutMachineSettings& settings);
 
-// The first record of a service.
+// The initial record of a service.
 RolloutRecord initialRecord(const ServiceName& service, const SoftwareVersion& base);
 
-// What the operator is told; nothing while no rollout was asked for.
+// The status shown to the operator; nothing if no rollout was requested.
 std::optional<forwarding::RolloutStatus> statusOf(const RolloutRecord& record);
 
 }  // namespace quincewick::staged_rollout
--- a/src/staged_rollout/traffic_splitter.cc
+++ b/src/staged_rollout/traffic_splitter.cc
@@ -5,12 +5,13 @@
 namespace quincewick::staged_rollout {
 namespace {
 
-// Of the share, so that requests which the base answered and nobody counts are no excess.
+// Fraction of the share that is used, so that baseline responses that nobody else counts don't let the target
+// exceed its share.
 constexpr double kShareUsedFraction = 0.9;
-// What a bucket holds at most: a route that falls silent keeps no right for later.
+// In tokens. A route without traffic doesn't save up tokens for later.
 constexpr double kBucketCapacity = 2;
-// Requests of more prompts than the share's may go to the target, for the bucket to be spent also where those
-// that were drawn are rare.
+// The target may get requests of this many times its share of the prompts, so that the bucket is used up even
+// if requests of the selected prompts are rare.
 constexpr double kPromptShareFactor = 1.5;
 
 }  // namespace
@@ -32,7 +33,7 @@
   confirmRecord(as_of);
 }
 
-// A notice of an earlier record than the one that is known is of a decider that was replaced.
+// A notice with an older record than the known one comes from a lease holder that was replaced.
 void TrafficSplitter::takeNotice(const RolloutNotice& notice, absl::Time now) {
   take(notice.known);
   if (notice.known.row < known_->row) {
@@ -44,7 +45,7 @@
   }
 }
 
-// A version that stood alone stays the base though others come beside it.
+// The first guess stays the base when servers of other versions are listed later.
 void TrafficSplitter::noteListed(const absl::flat_hash_map<SoftwareVersion, size_t>& servers) {
   if (known_ || guessed_base_ || servers.empty()) {
     return;
@@ -59,11 +60,12 @@
   return known_ ? std::optional(known_->record.base) : guessed_base_;
 }
 
-SoftwareVersion TrafficSplitter::versionOf(Variant side) const {
-  return side == Variant::kBaseline ? base().value_or(SoftwareVersion()) : known_->record.target;
+SoftwareVersion TrafficSplitter::versionOf(Variant variant) const {
+  return variant == Variant::kBaseline ? base().value_or(SoftwareVersion()) : known_->record.target;
 }
 
-// Who hears neither the decider nor the store can't know whether the base's servers are about to be stopped.
+// A gateway that reaches neither the lease holder nor the store can't know whether the base's servers are
+// about to be stopped.
 bool TrafficSplitter::isBaseOpen(absl::Duration store_clock, absl::Time now) const {
   if (!isRunning()) {
     return true;
@@ -79,7 +81,7 @@
   if (!isRunning() || known_->record.request_row == stopped_request_row_) {
     return false;
   }
-  // Once the base gets nothing more there is nowhere else to go.
+  // While finishing, the target is the only version that gets requests.
   const bool is_only_side = known_->record.stage == RolloutStage::kFinishing;
   return is_only_side || now < notice_received_at_ + kNoticeTtl;
 }
--- a/src/staged_rollout/traffic_splitter.h
+++ b/src/staged_rollout/traffic_splitter.h
@@ -1,11 +1,12 @@
-// To which software versions of one service a gateway may send requests now. One in each gateway for each
-// service; pure, `now` is the node's steady clock.
+// Decides to which software versions of one service a gateway may send requests. Each gateway has one
+// instance per service. Pure; `now` is the node's steady clock.
 //
-// The target's share is a bound without a word between gateways: each request that a server of the base has
-// answered here adds the share to the bucket of its route, each that goes to the target takes one out.
-// Buckets start empty with each process and each rollout, so whatever gateways die, start or are cut off, the
-// target gets no more than its share of the requests that reached the service. A part that the decider would
-// hand out needs a round trip, and what a dead gateway held is lost or handed out twice.
+// The target's share is enforced without communication between gateways, by a token bucket per route: each
+// response of the baseline at this gateway adds the share, each request to the target takes one token.
+// Buckets start empty with each process and each rollout. So the target never gets more than its share of the
+// requests that reached the service, whichever gateways crash, start or are partitioned. Quotas granted by
+// the lease holder would need a round trip, and the quota of a crashed gateway would be lost or granted
+// twice.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -19,53 +20,54 @@
 
 namespace quincewick::staged_rollout {
 
-// What a gateway knows of a service's rollout, and how sure it is.
+// A service's rollout record as a gateway knows it.
 struct KnownRecord {
   RolloutRecord record;
-  uint64_t row = 0;  // the store's version of it: a later one is newer
+  uint64_t row = 0;  // the store's version of the record; a greater one is newer
 };
 
-// The decider's word that the rollout goes on as its record says.
+// The lease holder's notice that the rollout continues as its record says.
 struct RolloutNotice {
   KnownRecord known;
-  bool stops_target = false;  // it was found bad: nothing more is to go there; the row follows
+  bool stops_target = false;  // the target was found bad and gets no more requests; the row follows
 };
 
 struct TrafficSplitterSettings {
-  double share = 0.1;  // of a service's requests that a version which may be bad gets at most
+  double share = 0.1;  // greatest fraction of a service's requests for a version that may be bad
 };
 
 class TrafficSplitter {
  public:
   explicit TrafficSplitter(TrafficSplitterSettings settings) : settings_(settings) {}
 
-  // A reading of the record; it was so at `as_of`, or later.
+  // Takes a record that was read from the store; it was current at `as_of` or later.
   void takeRecord(const KnownRecord& known, absl::Time as_of);
-  // A reading found it unchanged, or not there.
+  // A read found the record unchanged or absent.
   void confirmRecord(absl::Time as_of) { record_as_of_ = std::max(record_as_of_, as_of); }
-  // The record that is known stands in the store under this version.
+  // Corrects the store's version of the known record.
   void correctRow(uint64_t row) { known_->row = row; }
-  // `now`: when the notice came.
+  // `now`: when the notice was received.
   void takeNotice(const RolloutNotice& notice, absl::Time now);
-  // Versions that the service's servers have; the base is guessed from them while no record is known.
+  // Versions of the service's listed servers with their counts. While no record is known, the base is guessed
+  // from them.
   void noteListed(const absl::flat_hash_map<SoftwareVersion, size_t>& servers);
 
   const std::optional<KnownRecord>& known() const { return known_; }
   bool isRunning() const { return known_ && known_->record.isRunning(); }
-  // The version that requests go to but for a rollout's target. Nothing: no server is listed yet.
+  // The version that gets all requests except a rollout's target share. Nothing if no server is listed yet.
   std::optional<SoftwareVersion> base() const;
   // Whether a request may be sent to a server of that version now.
   bool mayUse(const SoftwareVersion& version, absl::Duration store_clock, absl::Time now) const;
-  // Which side a request of the route goes to; the target's share is taken if it is that. `prompt_position`:
-  // 0 to 1, by which requests are told apart that go over early: those of one prompt have the same. Nothing:
-  // neither side may be used.
+  // Chooses the variant for a request of the route, and takes a token if that is the target.
+  // `prompt_position`: 0 to 1, the same for all requests of one prompt; requests with low positions go to the
+  // target first. Nothing if neither variant may be used.
   std::optional<Variant> choose(uint64_t route, double prompt_position, absl::Duration store_clock,
                                 absl::Time now);
-  // A server of the base answered a request of the route.
+  // A server of the baseline responded to a request of the route.
   void noteBaselineResponse(uint64_t route);
-  SoftwareVersion versionOf(Variant side) const;
+  SoftwareVersion versionOf(Variant variant) const;
 
-  // What a notice is worth, and a reading of the record.
+  // How long a notice is valid, and a record that was read.
   static constexpr absl::Duration kNoticeTtl = absl::Milliseconds(1500);
   static constexpr absl::Duration kRecordTtl = absl::Milliseconds(2500);
 
@@ -78,9 +80,9 @@
   std::optional<KnownRecord> known_;
   absl::Time record_as_of_ = absl::InfinitePast();
   absl::Time notice_received_at_ = absl::InfinitePast();
-  uint64_t stopped_request_row_ = 0;  // of the operator: its target was found bad
+  uint64_t stopped_request_row_ = 0;  // the operator's request whose target was found bad
   std::optional<SoftwareVersion> guessed_base_;
-  absl::flat_hash_map<uint64_t, double> buckets_;  // by route
+  absl::flat_hash_map<uint64_t, double> buckets_;  // tokens by route
 };
 
 }  // namespace quincewick::staged_rollout
--- a/src/staged_rollout/version_verdict.cc
+++ b/src/staged_rollout/version_verdict.cc
@@ -7,25 +7,27 @@
 namespace quincewick::staged_rollout {
 namespace {
 
-// An answer that took so many times the base's median is a bad one.
+// A response that took longer than this many times the baseline's median is bad.
 constexpr double kSlowFactor = 3;
-// Of bad answers, of all: what a sound version may have whatever the base has, and what a bad one has more.
+// Rates of bad responses: the least that is expected whatever the baseline has, the margin above the expected
+// rate that makes a version bad, and the greatest rate of the alternative hypothesis.
 constexpr double kMinExpectedBadRate = 0.02;
 constexpr double kBadMargin = 0.06;
 constexpr double kMaxRate = 0.97;
-// Both sides are compared span by span: what comes and goes strikes both alike within one.
+// Variants are compared span by span: within one span, transient conditions affect both alike.
 constexpr absl::Duration kMinSpan = absl::Seconds(1);
 constexpr absl::Duration kMaxSpan = absl::Seconds(3);
 constexpr uint64_t kMinBaselineResponses = 20;
-// The base's rate is taken at the upper end of what its answers leave open, at this risk.
+// The baseline's rate is taken as its upper confidence bound at this risk.
 constexpr double kBaselineRateRisk = 0.1;
-// Beyond the base's rate: the operator allows few answers after the fiftieth bad one.
+// Beyond the baseline's rate. Operators allow few responses after the fiftieth bad one.
 constexpr double kMaxExcessBadResponses = 40;
-// Kept beyond the threshold for good, so that a single bad answer doesn't undo that verdict.
+// Evidence kept beyond the threshold for good, so that a single bad response doesn't undo that verdict.
 constexpr double kEvidenceMargin = 3;
-// A version that was hardly tried can't be good.
+// With fewer responses a version can't be found good.
 constexpr uint64_t kMinTargetResponses = 30;
-constexpr uint64_t kRouteBaselineResponses = 200;  // with as many of the base, the target must have some
+// On a route with this many responses of the baseline, the target needs kMinRouteTargetResponses.
+constexpr uint64_t kRouteBaselineResponses = 200;
 constexpr uint64_t kMinRouteTargetResponses = 5;
 
 double expectedBadRate(uint64_t bad, uint64_t answers) {
@@ -37,13 +39,13 @@
   return std::clamp(upper, kMinExpectedBadRate, kMaxRate - kBadMargin);
 }
 
-// Answers slower than this class are bad; none are where the base has no times.
+// Responses in slower buckets than this one are bad; none are if the baseline has no complete responses.
 size_t slowestGoodBucket(const ResponseCounts& base) {
   const size_t median = base.medianBucket();
   if (median == kLatencyBuckets) {
     return kLatencyBuckets;
   }
-  static const auto steps = static_cast<size_t>(std::ceil(std::log(kSlowFactor) / std::log(1.4)));  // classes
+  static const auto steps = static_cast<size_t>(std::ceil(std::log(kSlowFactor) / std::log(1.4)));  // buckets
   return median + steps;
 }
 
@@ -53,22 +55,22 @@
 
 }  // namespace
 
-void VersionVerdict::SequentialTest::note(uint64_t bad, uint64_t answers_more, double expected_rate) {
+void VersionVerdict::SequentialTest::note(uint64_t bad, uint64_t more_responses, double expected_rate) {
   const double bad_rate = expected_rate + kBadMargin;
-  const auto good = static_cast<double>(answers_more - bad);
+  const auto good = static_cast<double>(more_responses - bad);
   evidence += static_cast<double>(bad) * std::log(bad_rate / expected_rate) +
               good * std::log((1 - bad_rate) / (1 - expected_rate));
   evidence = std::max(evidence, thresholdForGood() - kEvidenceMargin);
-  answers += answers_more;
+  answers += more_responses;
 }
 
 void VersionVerdict::take(const ResponseStats& more, absl::Time now) {
   judge(now);
-  for (const Variant side : {Variant::kBaseline, Variant::kTarget}) {
-    for (const auto& [stratum, counts] : more.of(side)) {
+  for (const Variant variant : {Variant::kBaseline, Variant::kTarget}) {
+    for (const auto& [stratum, counts] : more.of(variant)) {
       Span& span = spans_.try_emplace(stratum, Span{now, {}, {}, 0}).first->second;
-      (side == Variant::kBaseline ? span.base : span.target).add(counts);
-      span.total_baseline += side == Variant::kBaseline ? counts.answers : 0;
+      (variant == Variant::kBaseline ? span.base : span.target).add(counts);
+      span.total_baseline += variant == Variant::kBaseline ? counts.answers : 0;
     }
   }
 }
@@ -98,7 +100,7 @@
   test.note(bad, span.target.answers, expected);
   overall_test_.note(bad, span.target.answers, expected);
   bad_answers_ += bad;
-  target_answers_ += span.target.answers;
+  target_responses_ += span.target.answers;
   excess_bad_responses_ += static_cast<double>(bad) - expected * static_cast<double>(span.target.answers);
   excess_bad_responses_ = std::max(excess_bad_responses_, 0.0);
   const bool is_found_bad = test.evidence >= thresholdForBad() ||
@@ -107,7 +109,7 @@
   is_bad_ = is_bad_ || is_found_bad;
 }
 
-// The chance of a false verdict is shared among all tests.
+// The probability of a false verdict is divided among all tests.
 double VersionVerdict::thresholdForBad() const {
   return std::log(static_cast<double>(tests_.size() + 1) / kFalseVerdictProbability);
 }
@@ -131,7 +133,7 @@
     return Verdict::kBad;
   }
   const bool is_accepted =
-      overall_test_.evidence <= thresholdForGood() && target_answers_ >= kMinTargetResponses;
+      overall_test_.evidence <= thresholdForGood() && target_responses_ >= kMinTargetResponses;
   const bool is_any_suspect =
       std::any_of(tests_.begin(), tests_.end(), [](const auto& entry) { return entry.second.evidence > 0; });
   return is_accepted && !is_any_suspect && isEveryRouteCovered() ? Verdict::kGood : Verdict::kUndecided;
--- a/src/staged_rollout/version_verdict.h
+++ b/src/staged_rollout/version_verdict.h
@@ -1,11 +1,13 @@
-// Whether a rollout's target version answers worse than the base: a sequential test over all gateways'
-// accounts. Pure; `now` never goes back.
+// Decides whether a rollout's target version responds worse than the baseline: a sequential test over the
+// stats of all gateways. Pure; `now` never goes back.
 //
-// Answers of the target are compared with those of the base of the same route, load and seconds, so that what
-// strikes both, as a burst or a failing store does, condemns neither. Bad are failures, and answers that took
-// several times the base's median. Each stratum has a sequential probability-ratio test, and all have one
-// together: "as bad as the base may be" against "that and a margin more". What speaks for the target is kept
-// up to the threshold for good only: one that turns bad late is found as soon as another.
+// Responses of the target are compared with those of the baseline of the same route, load and seconds, so
+// that a burst or a failing store, which affects both, doesn't count against either. Bad responses are
+// failures and responses that took several times the baseline's median. Each stratum has a sequential
+// probability-ratio test and all strata have one in common. The null hypothesis is the highest bad rate that
+// the baseline's responses allow; the alternative is that rate plus a margin. Evidence for the target is
+// capped near the threshold for good, so a target that turns bad late is found as soon as one that is bad
+// from the start.
 #pragma once
 
 #include <absl/container/btree_map.h>
@@ -21,32 +23,33 @@
 
 class VersionVerdict {
  public:
-  // The chance of either false verdict, over all strata of a rollout.
+  // Probability of either false verdict, over all strata of a rollout.
   static constexpr double kFalseVerdictProbability = 0.001;
 
-  // What one gateway's account has more than when it told last: answers of both sides of one span.
+  // Adds what one gateway's stats gained since its last report: responses of both variants of one span.
   void take(const ResponseStats& more, absl::Time now);
-  // Judges the spans that are over.
+  // Evaluates the spans that have ended.
   void judge(absl::Time now);
-  // A version that is bad stays so.
+  // A bad verdict is final.
   Verdict verdict() const;
-  // Of the target, as far as told.
+  // Of the target, as far as reported.
   uint64_t badResponses() const { return bad_answers_; }
-  uint64_t targetResponses() const { return target_answers_; }
+  uint64_t targetResponses() const { return target_responses_; }
 
  private:
-  // Answers of both sides in the span that runs: a second, or until the base has enough to compare with.
+  // Responses of both variants in the current span, which lasts a second or until the baseline has enough
+  // responses to compare with, but no more than kMaxSpan.
   struct Span {
     absl::Time began;
     ResponseCounts base;
     ResponseCounts target;
-    uint64_t total_baseline = 0;  // the base's answers since the beginning
+    uint64_t total_baseline = 0;  // responses of the baseline since the start
   };
   struct SequentialTest {
-    double evidence = 0;  // logarithm of the likelihood ratio; above 0 it speaks against the target
+    double evidence = 0;  // logarithm of the likelihood ratio; above 0: against the target
     uint64_t answers = 0;
 
-    void note(uint64_t bad, uint64_t answers_more, double expected_rate);
+    void note(uint64_t bad, uint64_t more_responses, double expected_rate);
   };
 
   void judgeSpan(const Stratum& stratum, const Span& span);
@@ -58,8 +61,8 @@
   SequentialTest overall_test_;
   bool is_bad_ = false;
   uint64_t bad_answers_ = 0;
-  uint64_t target_answers_ = 0;
-  double excess_bad_responses_ = 0;  // bad answers beyond what the base's rate explains
+  uint64_t target_responses_ = 0;
+  double excess_bad_responses_ = 0;  // beyond what the baseline's bad rate explains
 };
 
 }  // namespace quincewick::staged_rollout
--- a/tests/staged_rollout/rollout_site_test.cc
+++ b/tests/staged_rollout/rollout_site_test.cc
@@ -121,12 +121,12 @@
   }
 
   void send(Gateway& gateway) {
-    const auto side = gateway.gate.choose(kRoute, drawn(), clock(), now);
-    if (!gateway.gate.base() || !side) {
+    const auto variant = gateway.gate.choose(kRoute, drawn(), clock(), now);
+    if (!gateway.gate.base() || !variant) {
       return;
     }
     ++answered;
-    const SoftwareVersion version = gateway.gate.versionOf(*side);
+    const SoftwareVersion version = gateway.gate.versionOf(*variant);
     const bool is_stopped = row.record.stage == RolloutStage::kCompleted && version == kOld;
     at_stopped_base += is_stopped ? 1 : 0;
     if (version == kNew && row.record.stage == RolloutStage::kCompleted) {
@@ -134,8 +134,8 @@
     }
     const Stratum stratum{kRoute, false};
     const absl::Duration took = absl::Milliseconds(100 + 300 * drawn());
-    gateway.under_way.emplace_back(now + took, *side == Variant::kTarget);
-    if (*side == Variant::kBaseline) {
+    gateway.under_way.emplace_back(now + took, *variant == Variant::kTarget);
+    if (*variant == Variant::kBaseline) {
       gateway.account.noteResponse(Variant::kBaseline, stratum, took);
       gateway.gate.noteBaselineResponse(kRoute);
       return;
@@ -170,9 +170,9 @@
       last = Told{gateway.life, {}, 0, now};
     }
     ResponseStats news;
-    for (const Variant side : {Variant::kBaseline, Variant::kTarget}) {
-      for (const auto& [stratum, counts] : gateway.account.of(side)) {
-        news.of(side)[stratum] = counts.since(last.counts.of(side)[stratum]);
+    for (const Variant variant : {Variant::kBaseline, Variant::kTarget}) {
+      for (const auto& [stratum, counts] : gateway.account.of(variant)) {
+        news.of(variant)[stratum] = counts.since(last.counts.of(variant)[stratum]);
       }
     }
     last.counts = gateway.account;
--- a/tests/staged_rollout/version_verdict_test.cc
+++ b/tests/staged_rollout/version_verdict_test.cc
@@ -53,16 +53,16 @@
 
   explicit Watched(uint32_t seed) : random(seed) {}
 
-  void answer(ResponseStats& account, Variant side, const Stratum& stratum, const Behaviour& behaviour) {
+  void answer(ResponseStats& account, Variant variant, const Stratum& stratum, const Behaviour& behaviour) {
     const Answer answer = behaviour(tick, stratum, random);
     const bool is_bad = answer.is_failure || answer.took > absl::Milliseconds(400);
-    if (side == Variant::kTarget && is_bad && ++bad_responses == 50) {
+    if (variant == Variant::kTarget && is_bad && ++bad_responses == 50) {
       fiftieth_bad = tick;
     }
     if (answer.is_failure) {
-      account.noteFailure(side, stratum);
+      account.noteFailure(variant, stratum);
     } else {
-      account.noteResponse(side, stratum, answer.took);
+      account.noteResponse(variant, stratum, answer.took);
     }
   }
 
