--- a/src/prefix/block_chain.h
+++ b/src/prefix/block_chain.h
@@ -1,4 +1,4 @@
-// Cuts prompts into blocks and names each block by a chained 128-bit key.
+// Splits prompts into blocks and computes a chained 128-bit key for each block.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 namespace quincewick::prefix {
 
-// Characters in a block, as the engines of both deployments hold their cache.
+// Characters in a block; the cache block size of the engines in both deployments.
 inline constexpr uint32_t kDefaultBlockSize = 4096;
 
 // The site's secret from which cache salts are derived. Never logged, never sent to an engine.
--- a/src/prefix/prefix_index.cc
+++ b/src/prefix/prefix_index.cc
@@ -8,16 +8,16 @@
 namespace {
 
 constexpr absl::Duration kTick = absl::Milliseconds(100);
-// Entries that the hand looks at to find one to give up.
+// Entries that the clock hand examines to find a victim.
 constexpr size_t kEvictionCandidates = 8;
 // Doubtful beliefs older than this many gaps are void.
 constexpr uint16_t kDoubtfulEpochs = 256;
-// A gap of more events than this may have hidden anything: earlier beliefs are void.
+// A gap of more events than this may hide any change: earlier beliefs are void.
 constexpr uint64_t kWideGap = 256;
 constexpr float kOneRequest = 1.0F;
 constexpr float kNoRequest = 0.0F;
 
-// How many epochs ago it was; epochs wrap around, ages don't.
+// Age in epochs. Epochs wrap around, ages don't.
 uint16_t ageOf(uint16_t current, uint16_t epoch) {
   return static_cast<uint16_t>(current - epoch);
 }
@@ -185,7 +185,7 @@
   engine.gap_end = sequence;
 }
 
-// All events up to the gap's end have been applied in order.
+// Called when all events up to the gap's end have been applied in order.
 void PrefixIndex::fillGap(EngineState& engine) {
   engine.gap_begin.reset();
   const bool settled_is_older =
@@ -193,7 +193,7 @@
   engine.certain_since = settled_is_older ? engine.valid_since : engine.settled_since;
 }
 
-// The missing events won't come: what they hid stays doubtful.
+// The missing events won't arrive: earlier beliefs stay doubtful.
 void PrefixIndex::abandonGap(EngineState& engine) {
   engine.gap_begin.reset();
   engine.settled_since = engine.certain_since;
@@ -268,7 +268,8 @@
   }
 }
 
-// `known_blocks`: the run that a holder must have so far to be taken further; 0 at the first known block.
+// `known_blocks`: length of the run that a holder must have so far to be extended; 0 at the first known
+// block.
 void PrefixIndex::mergeBeliefs(const Entry& entry, uint32_t known_blocks, uint32_t depth,
                                PrefixView& result) const {
   for (const Belief& belief : entry.beliefs) {
@@ -298,7 +299,8 @@
   return result;
 }
 
-// Adds what is known of the block at `depth`; `entry` is null where nothing is. Returns the new known run.
+// Adds the block at `depth` to the result; `entry` is null if the block is unknown. Returns the length of the
+// known run.
 uint32_t PrefixIndex::addBlock(const Entry* entry, uint32_t depth, uint32_t known_blocks, uint32_t now_tick,
                                PrefixView& result) const {
   if (entry == nullptr) {
--- a/src/prefix/prefix_index.h
+++ b/src/prefix/prefix_index.h
@@ -1,14 +1,15 @@
-// What a node believes of its engines' caches: a bounded index from blocks to the engines that hold them.
+// A node's view of its engines' caches: a bounded index from blocks to the engines that are believed to hold
+// them.
 //
-// Beliefs come from three sources: cache events (late, with gaps), answers (the engine now holds the whole
-// prompt) and dispatches (it soon will). A belief belongs to an engine's incarnation: `reset` voids all of an
-// engine at once, in constant time. A gap in an engine's event sequence makes what was believed of it before
-// doubtful; reading the gap again, from `resumeAfter`, makes it certain. Beliefs only steer placement, so a
-// wrong one costs time, never correctness.
+// Beliefs come from three sources: cache events (late, with gaps), responses (the engine now holds the whole
+// prompt) and dispatches (it soon will). A belief belongs to an engine's incarnation: `reset` voids all
+// beliefs of an engine in constant time. A gap in an engine's event sequence makes the earlier beliefs of it
+// doubtful; reading the gap again, from `resumeAfter`, makes them certain. Beliefs only affect placement, so
+// a wrong one costs time, never correctness.
 //
-// The number of blocks is limited. A full index gives up the block with the fewest recent requests among a
-// few under a moving hand, and refuses a newcomer that has fewer still. At scale it keeps one block in
-// `sampling`, chosen by key, so that all nodes keep the same ones.
+// The number of blocks is bounded. A full index evicts the block with the fewest recent requests among the
+// next few at a clock hand, and rejects a new block that has fewer still. At scale it keeps one block in
+// `sampling`, selected by key, so that all nodes keep the same ones.
 //
 // Not thread-safe.
 #pragma once
@@ -27,7 +28,7 @@
 
 namespace quincewick::prefix {
 
-// A small number that stands for an engine; given by the engine directory, used again after removal.
+// A small number that identifies an engine; assigned by the engine directory and reused after removal.
 enum class EngineNumber : uint16_t {};
 
 enum class CacheEventKind : uint8_t { kStored, kEvicted };
@@ -45,16 +46,16 @@
   absl::Duration half_life = absl::Seconds(20);  // of request counts
 };
 
-// What the index knows of one prompt.
+// The index's view of one prompt.
 struct PrefixView {
   struct Holder {
     EngineNumber engine{};
-    uint32_t certain_blocks = 0;   // leading blocks believed to be held
-    uint32_t possible_blocks = 0;  // the same, counting doubtful beliefs; at least certain_blocks
+    uint32_t certain_blocks = 0;   // leading blocks with certain beliefs
+    uint32_t possible_blocks = 0;  // the same, including doubtful beliefs; at least certain_blocks
   };
   std::vector<Holder> holders;  // engines believed to hold the first known block, by slot
-  std::vector<float> requests;  // for each block: recent requests that went through it, this one excluded
-  float all_requests = 0;       // recent requests altogether, this one excluded
+  std::vector<float> requests;  // for each block: recent requests containing it, this one excluded
+  float all_requests = 0;       // all recent requests, this one excluded
 };
 
 // Counts for metrics.
@@ -62,8 +63,8 @@
   uint64_t events = 0;
   uint64_t duplicate_events = 0;
   uint64_t gaps = 0;
-  uint64_t evicted_blocks = 0;  // given up for want of room
-  uint64_t refused_blocks = 0;  // newcomers that found no room
+  uint64_t evicted_blocks = 0;  // evicted because the index was full
+  uint64_t refused_blocks = 0;  // new blocks that were rejected because the index was full
 };
 
 class PrefixIndex {
@@ -72,12 +73,12 @@
   PrefixIndex(const PrefixIndex&) = delete;
   PrefixIndex& operator=(const PrefixIndex&) = delete;
 
-  // Voids everything believed of the engine; its events start over from sequence 1.
+  // Voids all beliefs of the engine; its events start again from sequence 1.
   void reset(EngineNumber engine);
 
-  // Takes cache events in the order of their sequences. Known ones are skipped. Returns true where events are
-  // missing: the caller should read again from `resumeAfter`. A gap is reported once; if reading again does
-  // not fill it, what it hid stays doubtful.
+  // Applies cache events in the order of their sequences, skipping those already applied. Returns true if
+  // events are missing: the caller should read again from `resumeAfter`. A gap is reported once; if reading
+  // again doesn't fill it, earlier beliefs stay doubtful.
   bool apply(EngineNumber engine, absl::Span<const CacheEvent> events, absl::Time now);
 
   // The sequence after which events should be read next.
@@ -86,18 +87,18 @@
   // The engine holds, or will soon hold, all blocks of the chain.
   void recordHeld(EngineNumber engine, const PrefixChain& chain, absl::Time now);
 
-  // The engine did not come to hold the chain's blocks from `first_block` on, though recordHeld said so.
+  // The engine doesn't hold the chain's blocks from `first_block` on, contrary to an earlier recordHeld.
   void recordLost(EngineNumber engine, const PrefixChain& chain, size_t first_block);
 
-  // Counts a request through the chain's blocks, and returns what is known of them.
+  // Counts a request for the chain's blocks and returns the view from before it.
   PrefixView observe(const PrefixChain& chain, absl::Time now);
 
-  // As `observe`, without counting.
+  // Like `observe`, without counting.
   PrefixView view(const PrefixChain& chain, absl::Time now) const;
 
   size_t size() const { return entries_.size(); }
   const PrefixIndexCounters& counters() const { return counters_; }
-  // Bytes held now, without what the allocator adds.
+  // Bytes in use, without the allocator's overhead.
   size_t memoryBytes() const;
 
  private:
@@ -126,7 +127,7 @@
     uint16_t certain_since = 0;
     uint16_t valid_since = 0;
     uint64_t next_sequence = 1;
-    uint16_t settled_since = 0;         // beliefs since this epoch are certain once the open gap is filled
+    uint16_t settled_since = 0;         // beliefs since this epoch become certain once the open gap is filled
     std::optional<uint64_t> gap_begin;  // the first missing sequence, while reading again may fill it
     uint64_t gap_end = 0;               // the first sequence known after the gap
   };
