--- a/tests/prefix/block_chain_test.cc
+++ b/tests/prefix/block_chain_test.cc
@@ -30,7 +30,7 @@
   });
 }
 
-TEST_CASE("every field of the root and the secret changes the salt, and no two encodings meet") {
+TEST_CASE("every field of the root and the secret changes the salt, and encodings of roots don't collide") {
   const PrefixRoot root{TenantId("airport"), ModelName("base"), AdapterName("quotes"), WeightsVersion(7)};
   const std::string salt = cacheSalt(root, kSecret);
   PrefixRoot other = root;
--- a/tests/prefix/prefix_index_test.cc
+++ b/tests/prefix/prefix_index_test.cc
@@ -36,7 +36,7 @@
   return {engine, 0, 0};
 }
 
-// An engine's cache with the log that readers see: some events never appear in it.
+// An engine's cache with its event log, in which some events are missing.
 struct LoggedCache {
   std::set<uint64_t> held;
   std::vector<CacheEvent> log;
@@ -67,8 +67,8 @@
   }
 };
 
-TEST_CASE("what is certain is true under lost, late, repeated and crossed events") {
-  rc::prop("against the cache itself", [] {
+TEST_CASE("certain beliefs are true under lost, late, repeated and reordered events") {
+  rc::prop("compared with the cache itself", [] {
     constexpr uint64_t kBlocks = 12;
     PrefixIndex index(PrefixIndexSettings{});
     index.reset(kEngine);
@@ -77,7 +77,7 @@
     const auto steps = *rc::gen::inRange(0, 60);
     for (int step = 0; step < steps; ++step) {
       switch (*rc::gen::inRange(0, 6)) {
-        case 0:  // a read in order; it may also be lost on its way or come later
+        case 0:  // a read in order; it may be lost or applied later
           batches.push_back(cache.read(index.resumeAfter(kEngine), *rc::gen::inRange<size_t>(1, 6)));
           break;
         case 1:
@@ -124,7 +124,7 @@
   CHECK(index.resumeAfter(kEngine) == Sequence(3));
 }
 
-TEST_CASE("what a gap that can't be filled has hidden stays doubtful after a later gap is filled") {
+TEST_CASE("beliefs from before an unfilled gap stay doubtful after a later gap is filled") {
   PrefixIndex index(PrefixIndexSettings{});
   const auto stored = [](uint64_t sequence) {
     return CacheEvent{Sequence(sequence), CacheEventKind::kStored, blockNumber(sequence)};
@@ -140,8 +140,8 @@
   CHECK(beliefOf(index, kEngine, chainOf(3, 3)).certain_blocks == 3);
 }
 
-TEST_CASE("a reset voids all of one engine and nothing of another") {
-  rc::prop("void by incarnation", [] {
+TEST_CASE("a reset voids all beliefs of one engine and none of another") {
+  rc::prop("beliefs are void after a reset", [] {
     PrefixIndex index(PrefixIndexSettings{});
     const auto count = *rc::gen::inRange<uint32_t>(1, 20);
     index.recordHeld(kEngine, chainOf(0, count), kStart);
@@ -156,7 +156,7 @@
   });
 }
 
-TEST_CASE("an engine is believed to hold the leading run only") {
+TEST_CASE("only the leading run of blocks counts as held by an engine") {
   PrefixIndex index(PrefixIndexSettings{});
   index.reset(kEngine);
   index.recordHeld(kEngine, chainOf(0, 6), kStart);
@@ -165,7 +165,7 @@
   CHECK(beliefOf(index, kEngine, chainOf(0, 6)).certain_blocks == 3);
 }
 
-TEST_CASE("the number of blocks is bounded, and hot trunks outlive a flood of cold blocks") {
+TEST_CASE("the number of blocks is bounded, and hot prefixes survive a flood of cold blocks") {
   PrefixIndexSettings settings;
   settings.maximum_blocks = 256;
   PrefixIndex index(settings);
@@ -194,7 +194,7 @@
   CHECK(later.requests[2] == Approx(0.5).epsilon(0.01));
 }
 
-TEST_CASE("a sampled index keeps its share and still sees how deep an engine's run goes") {
+TEST_CASE("a sampled index keeps its fraction of the blocks and still finds the length of an engine's run") {
   PrefixIndexSettings settings;
   settings.sampling = 4;
   PrefixIndex index(settings);
--- a/tests/quota/quota_account_test.cc
+++ b/tests/quota/quota_account_test.cc
@@ -8,7 +8,7 @@
 
 constexpr double kPerSecond = 1000;
 const RateLimit kLimit{LimitUnit::kTokens, kPerSecond, 500, 1};
-// Of 8,500 tokens in a window: 850 and 1,150, so that half of the tolerance is 1,000.
+// A window allows 8,500 tokens. The tolerance is 850 + 1,150 = 2,000, half of it 1,000.
 const LimitTolerance kTolerance{absl::Seconds(8), 0.1, 1150};
 
 double takeAll(QuotaAccount& account, absl::Time now,
@@ -21,15 +21,15 @@
 }
 
 const OwnerAllowance kStandIn = {1, true, false};
-const OwnerAllowance kBack = {1, false, true};
+const OwnerAllowance kRejoined = {1, false, true};
 
-TEST_CASE("the first in rank begins with a full bucket") {
+TEST_CASE("the first in rank starts with a full bucket") {
   QuotaAccount account;
   CHECK(takeAll(account, absl::UnixEpoch()) == Approx(1500).margin(10));
 }
 
-TEST_CASE("one that stands in, or was away, begins with an eighth of the tolerance") {
-  for (const OwnerAllowance& allowance : {kStandIn, kBack}) {
+TEST_CASE("a stand-in, or an owner that was disconnected, starts with an eighth of the tolerance") {
+  for (const OwnerAllowance& allowance : {kStandIn, kRejoined}) {
     QuotaAccount account;
     CHECK(takeAll(account, absl::UnixEpoch(), allowance) == Approx(250).margin(10));
   }
@@ -45,18 +45,18 @@
   return takeAll(account, now + idle, allowance);
 }
 
-TEST_CASE("an account that is asked all the time saves up the burst and half of the tolerance") {
+TEST_CASE("an account with continuous requests accumulates the burst and half of the tolerance") {
   CHECK(takeAfterAnIdleTime(OwnerAllowance::full(), absl::ZeroDuration()) == Approx(1500).margin(10));
   CHECK(takeAfterAnIdleTime(kStandIn, absl::ZeroDuration()) == Approx(1500).margin(10));
-  CHECK(takeAfterAnIdleTime(kBack, absl::ZeroDuration()) == Approx(250).margin(10));
+  CHECK(takeAfterAnIdleTime(kRejoined, absl::ZeroDuration()) == Approx(250).margin(10));
 }
 
-TEST_CASE("after a second without a question one that stands in holds no more than at first") {
+TEST_CASE("after a second without requests a stand-in has no more than its initial balance") {
   CHECK(takeAfterAnIdleTime(kStandIn, absl::Seconds(30)) == Approx(250).margin(10));
   CHECK(takeAfterAnIdleTime(OwnerAllowance::full(), absl::Seconds(30)) == Approx(1500).margin(10));
 }
 
-TEST_CASE("who is denied hears when so much comes free, each after those before it") {
+TEST_CASE("a denial tells when the amount is available, after all earlier denied requests") {
   QuotaAccount account;
   const absl::Time now = absl::UnixEpoch();
   takeAll(account, now);
@@ -70,7 +70,7 @@
             .is_granted);
 }
 
-TEST_CASE("a request above all that can be saved up is served on credit, and what follows waits") {
+TEST_CASE("a request above the bucket's capacity is granted on credit, and later ones wait") {
   QuotaAccount account;
   const absl::Time now = absl::UnixEpoch();
   CHECK(account.tryConsume(5000, kLimit, kTolerance, OwnerAllowance::full(), now).is_granted);
@@ -79,7 +79,7 @@
   CHECK(next.retry_after == absl::Milliseconds(3600));
 }
 
-TEST_CASE("what never ran is back at once") {
+TEST_CASE("a refund is available at once") {
   QuotaAccount account;
   const absl::Time now = absl::UnixEpoch();
   takeAll(account, now);
@@ -87,7 +87,7 @@
   CHECK(takeAll(account, now) == Approx(200).margin(10));
 }
 
-TEST_CASE("a lowered limit holds from the next question on") {
+TEST_CASE("a lowered limit applies from the next request on") {
   QuotaAccount account;
   absl::Time now = absl::UnixEpoch();
   for (int step = 0; step < 100; ++step) {
@@ -101,7 +101,7 @@
 }
 
 TEST_CASE(
-    "one keeper's grants pass a limit in no window by more than half of the tolerance and one request") {
+    "one owner's grants exceed a limit in no window by more than half of the tolerance and one request") {
   CHECK(rc::check([] {
     QuotaAccount account;
     absl::Time now = absl::UnixEpoch();
--- a/tests/quota/quota_messages_test.cc
+++ b/tests/quota/quota_messages_test.cc
@@ -9,7 +9,7 @@
 const QuotaMessage kDenial{QuotaMessageKind::kDeny, 7, LimitName("t"), 9190.5, false,
                            absl::Milliseconds(1234)};
 
-TEST_CASE("a message about a limit reads back as it was written, and no part of it passes for one") {
+TEST_CASE("a quota message round-trips, and truncated or extended bytes are rejected") {
   const std::string bytes = encodeQuotaMessage(kDenial);
   const auto read = decodeQuotaMessage(bytes);
   REQUIRE(read.has_value());
@@ -25,7 +25,7 @@
   CHECK(decodeQuotaMessage(bytes + "x").has_error());
 }
 
-TEST_CASE("kinds that are unknown and costs that are none are refused") {
+TEST_CASE("unknown kinds and invalid costs are rejected") {
   QuotaMessage message = kDenial;
   message.kind = static_cast<QuotaMessageKind>(9);
   CHECK(decodeQuotaMessage(encodeQuotaMessage(message)).has_error());
--- a/tests/quota/quota_site.h
+++ b/tests/quota/quota_site.h
@@ -1,5 +1,5 @@
-// A site of gateways in virtual time: requests come at random gateways, messages take time and get lost, and
-// gateways die, freeze, turn slow and are cut off.
+// A site of gateways in virtual time: requests arrive at random gateways, messages take time and get lost,
+// and gateways crash, freeze, slow down and are partitioned from the others.
 #pragma once
 
 #include <absl/strings/str_cat.h>
@@ -17,21 +17,21 @@
 namespace quincewick::quota {
 
 inline const LimitName kName("t");
-inline constexpr absl::Duration kCut = absl::Seconds(4);
+inline constexpr absl::Duration kPartitionDuration = absl::Seconds(4);
 inline constexpr absl::Duration kStep = absl::Milliseconds(5);
 
 struct Gateway {
   std::unique_ptr<SharedQuotas> quotas;
   bool is_up = true;
   absl::Time frozen_until = absl::InfinitePast();
-  absl::Time cut_until = absl::InfinitePast();
-  absl::Duration delay;  // of all it does
+  absl::Time partitioned_until = absl::InfinitePast();
+  absl::Duration delay;  // added to each message it sends
   absl::Time started = absl::InfinitePast();
 };
 
 class Site {
  public:
-  // `draw_cost`: of each request, in the limit's unit.
+  // `draw_cost`: draws the cost of each request, in the limit's unit.
   using DrawCost = std::function<double(Site& site)>;
   Site(size_t count, RateLimit limit, const LimitTolerance& tolerance, double loss, uint64_t seed,
        DrawCost draw_cost, NoOwnerPolicy no_owner_policy = NoOwnerPolicy::kUseEvenShare)
@@ -54,7 +54,7 @@
     gateway.quotas->setMembers(members());
     gateway.is_up = true;
     gateway.started = now_;
-    waiting_[index].clear();
+    pending_costs_[index].clear();
   }
   std::vector<routing::KeeperMember> members() const {
     std::vector<routing::KeeperMember> result;
@@ -66,7 +66,7 @@
   void stop(size_t index) { gateways_[index].is_up = false; }
   Gateway& gateway(size_t index) { return gateways_[index]; }
   size_t size() const { return gateways_.size(); }
-  // The gateway that most questions go to at first.
+  // The first in rank among the owners of kName.
   size_t owner() {
     routing::KeeperRanks ranks;
     ranks.setMembers(members());
@@ -75,47 +75,49 @@
   void setLimit(const RateLimit& limit) { limit_ = limit; }
   absl::Time now() const { return now_; }
 
-  // One step: due messages, due ticks, and requests of so much a second in all.
+  // One step: due messages, due ticks, and requests. `demand_per_second`: of all gateways, in the limit's
+  // unit.
   void step(double demand_per_second) {
     now_ += kStep;
-    while (!under_way_.empty() && under_way_.begin()->first <= now_) {
-      const auto [from, to, message] = under_way_.begin()->second;
-      under_way_.erase(under_way_.begin());
-      if (isHeard(from) && isHeard(to)) {
+    while (!in_flight_.empty() && in_flight_.begin()->first <= now_) {
+      const auto [from, to, message] = in_flight_.begin()->second;
+      in_flight_.erase(in_flight_.begin());
+      if (isReachable(from) && isReachable(to)) {
         QuotaActions actions;
         gateways_[to].quotas->onMessage(idOf(from), message, now_, actions);
         carryOut(to, actions);
       }
     }
     for (size_t index = 0; index < gateways_.size(); ++index) {
-      // A gateway that is cut off notices when its peers have been silent for a while.
-      const absl::Time cut_until = gateways_[index].cut_until;
-      const bool is_isolated = now_ < cut_until && cut_until - now_ < kCut - absl::Milliseconds(1200);
-      if (runs(index)) {
+      // A partitioned gateway notices that it is isolated 1.2 s after its last contact.
+      const absl::Time partitioned_until = gateways_[index].partitioned_until;
+      const bool is_isolated = now_ < partitioned_until &&
+                               partitioned_until - now_ < kPartitionDuration - absl::Milliseconds(1200);
+      if (isRunning(index)) {
         gateways_[index].quotas->onHeartbeat(is_isolated, now_);
       }
-      if (runs(index) && gateways_[index].quotas->nextWakeup() <= now_) {
+      if (isRunning(index) && gateways_[index].quotas->nextWakeup() <= now_) {
         QuotaActions actions;
         gateways_[index].quotas->onTick(now_, actions);
         carryOut(index, actions);
       }
     }
-    owed_ += demand_per_second * absl::ToDoubleSeconds(kStep);
-    while (owed_ > 0) {
+    demand_backlog_ += demand_per_second * absl::ToDoubleSeconds(kStep);
+    while (demand_backlog_ > 0) {
       const double cost = draw_cost_(*this);
-      owed_ -= cost;
+      demand_backlog_ -= cost;
       const auto index = static_cast<size_t>(uniform(0, static_cast<double>(gateways_.size())));
-      if (runs(index)) {
-        ++asked;
+      if (isRunning(index)) {
+        ++requests;
         QuotaActions actions;
-        waiting_[index][gateways_[index].quotas->ask(kName, cost, now_, actions)] = cost;
+        pending_costs_[index][gateways_[index].quotas->ask(kName, cost, now_, actions)] = cost;
         carryOut(index, actions);
       }
     }
   }
 
-  // The most that was granted in a window, of what may be.
-  double mostInAWindow() const {
+  // The largest amount granted in a window, relative to what the limit and its tolerance allow.
+  double maxWindowUsage() const {
     const double allowed = limit_.per_second * absl::ToDoubleSeconds(tolerance_.window) + limit_.burst +
                            tolerance_.amountFor(limit_);
     double most = 0;
@@ -137,9 +139,9 @@
     }
     return sum;
   }
-  // The most requests that were granted in a window at gateways that were not started, frozen or cut off then
-  // or so long before.
-  size_t mostRequestsIn(absl::Duration window) const {
+  // The most requests granted in a window at gateways that were not started, frozen or partitioned within the
+  // window's length before the grant.
+  size_t maxRequestsIn(absl::Duration window) const {
     size_t most = 0;
     std::deque<absl::Time> within;
     for (const auto& [time, undisturbed_since] : granted_since_disturbed_) {
@@ -156,41 +158,45 @@
   }
   double uniform(double from, double to) { return std::uniform_real_distribution<double>(from, to)(random_); }
 
-  int asked = 0;
+  int requests = 0;
   int denied = 0;
   size_t messages = 0;
 
  private:
-  struct Letter {
+  struct InFlightMessage {
     size_t from;
     size_t to;
     QuotaMessage message;
   };
   static NodeId idOf(size_t index) { return NodeId(absl::StrCat("g", index)); }
   static size_t indexOf(const NodeId& id) { return static_cast<size_t>(std::stoul(id.value().substr(1))); }
-  bool runs(size_t index) const { return gateways_[index].is_up && gateways_[index].frozen_until <= now_; }
-  bool isHeard(size_t index) const { return runs(index) && gateways_[index].cut_until <= now_; }
+  bool isRunning(size_t index) const {
+    return gateways_[index].is_up && gateways_[index].frozen_until <= now_;
+  }
+  bool isReachable(size_t index) const {
+    return isRunning(index) && gateways_[index].partitioned_until <= now_;
+  }
 
   void carryOut(size_t index, const QuotaActions& actions) {
     for (const QuotaActions::Outgoing& outgoing : actions.messages) {
       ++messages;
       if (uniform(0, 1) >= loss_) {
-        const absl::Duration way = absl::Milliseconds(uniform(0.2, 3)) + gateways_[index].delay;
-        under_way_.emplace(now_ + way, Letter{index, indexOf(outgoing.to), outgoing.message});
+        const absl::Duration latency = absl::Milliseconds(uniform(0.2, 3)) + gateways_[index].delay;
+        in_flight_.emplace(now_ + latency, InFlightMessage{index, indexOf(outgoing.to), outgoing.message});
       }
     }
     for (const QuotaDecision& decision : actions.decisions) {
-      const auto found = waiting_[index].find(decision.number);
-      REQUIRE(found != waiting_[index].end());
+      const auto found = pending_costs_[index].find(decision.number);
+      REQUIRE(found != pending_costs_[index].end());
       if (decision.verdict.is_granted) {
         granted_.emplace_back(now_, found->second);
         const Gateway& gateway = gateways_[index];
         granted_since_disturbed_.emplace_back(
-            now_, std::max({gateway.started, gateway.frozen_until, gateway.cut_until}));
+            now_, std::max({gateway.started, gateway.frozen_until, gateway.partitioned_until}));
       } else {
         ++denied;
       }
-      waiting_[index].erase(found);
+      pending_costs_[index].erase(found);
     }
   }
 
@@ -202,12 +208,12 @@
   DrawCost draw_cost_;
   NoOwnerPolicy no_owner_policy_;
   absl::Time now_ = absl::UnixEpoch() + absl::Hours(1);
-  std::multimap<absl::Time, Letter> under_way_;
-  std::map<size_t, std::map<uint64_t, double>> waiting_;
+  std::multimap<absl::Time, InFlightMessage> in_flight_;
+  std::map<size_t, std::map<uint64_t, double>> pending_costs_;
   std::vector<std::pair<absl::Time, double>> granted_;
-  // When it was granted, and since when its gateway had been undisturbed.
+  // Time of each grant, and since when its gateway had been undisturbed.
   std::vector<std::pair<absl::Time, absl::Time>> granted_since_disturbed_;
-  double owed_ = 0;
+  double demand_backlog_ = 0;
 };
 
 inline void run(Site& site, absl::Duration time, double demand_per_second) {
--- a/tests/staged_rollout/rollout_record_test.cc
+++ b/tests/staged_rollout/rollout_record_test.cc
@@ -24,7 +24,7 @@
   return record;
 }
 
-TEST_CASE("a record reads back as it was written, and no part of it passes for one") {
+TEST_CASE("a record round-trips, and truncated or extended bytes are rejected") {
   const std::string bytes = encodeRecord(record());
   REQUIRE(decodeRecord(bytes).has_value());
   CHECK(decodeRecord(bytes).value() == record());
@@ -34,22 +34,22 @@
   CHECK(decodeRecord(bytes + "x").has_error());
 }
 
-TEST_CASE("a record of a later form, or with a share that can't be, is refused") {
+TEST_CASE("a record with an unknown format version or an invalid share is rejected") {
   std::string later = encodeRecord(record());
-  later[1] = 2;  // behind the archive's own first byte
+  later[1] = 2;  // after the archive's own first byte
   CHECK(decodeRecord(later).has_error());
   RolloutRecord too_much = record();
   too_much.share = 1.5;
   CHECK(decodeRecord(encodeRecord(too_much)).has_error());
 }
 
-TEST_CASE("whatever bytes stand in a record's row, it is read whole or refused") {
+TEST_CASE("arbitrary bytes are read as a complete record or rejected") {
   REQUIRE(rc::check("bytes", [](const std::string& bytes) {
     const auto read = decodeRecord(bytes);
     const bool is_whole = read.has_value() && encodeRecord(read.value()).size() == bytes.size();
     RC_ASSERT(read.has_error() != is_whole);
   }));
-  REQUIRE(rc::check("one byte of a record is another", [] {
+  REQUIRE(rc::check("one byte of a record is changed", [] {
     std::string bytes = encodeRecord(record());
     const auto place = *rc::gen::inRange<size_t>(0, bytes.size());
     bytes[place] = *rc::gen::arbitrary<char>();
--- a/tests/staged_rollout/rollout_site_test.cc
+++ b/tests/staged_rollout/rollout_site_test.cc
@@ -1,9 +1,9 @@
-// A service's rollout on a site of gateways in virtual time: gateways die, start, freeze, are cut off from
-// each other and from the store, and the traffic rises and falls. Whatever happens, the promises hold:
-// - a version gets no request before it was asked for, nor once a roll-back is known;
-// - what gateways send to the target while it is watched is no more than its share of all requests;
-// - from the fiftieth bad answer on no gateway in touch sends it anything after the bound;
-// - where the base's servers may be stopped, nothing runs there and nothing is sent there.
+// A service's rollout on a site of gateways in virtual time: gateways crash, start, are partitioned from each
+// other and from the store, and the traffic rises and falls. These guarantees always hold:
+// - a version gets no request before it was requested, nor once a roll-back is known;
+// - while the target is watched, it gets no more than its share of all requests;
+// - from the fiftieth bad response on, no gateway in touch sends the target anything after the bound;
+// - once the baseline's servers may be stopped, nothing runs there and nothing is sent there.
 #include <absl/container/btree_map.h>
 #include <rapidcheck.h>
 
@@ -27,26 +27,26 @@
 constexpr double kShare = 0.1;
 constexpr uint64_t kRoute = 1;
 constexpr absl::Duration kRollbackBound = absl::Seconds(5);  // the operator's
-constexpr absl::Duration kContact = absl::Seconds(4);        // for so long without trouble: in touch
-constexpr int kNoticeEvery = 4;                              // ticks
-constexpr int kAccountEvery = 5;
+constexpr absl::Duration kContactTime = absl::Seconds(4);  // a gateway undisturbed for this long is in touch
+constexpr int kNoticeTicks = 4;                            // ticks
+constexpr int kReportTicks = 5;
 const absl::Time kStart = absl::FromUnixSeconds(1000);
 
 struct Gateway {
-  TrafficSplitter gate{TrafficSplitterSettings{kShare}};
-  ResponseStats account;
-  uint64_t life = 1;
+  TrafficSplitter splitter{TrafficSplitterSettings{kShare}};
+  ResponseStats stats;
+  uint64_t incarnation = 1;
   bool is_up = true;
-  bool hears_peers = true;
-  bool hears_store = true;
-  absl::Time troubled = absl::InfinitePast();          // last
-  std::vector<std::pair<absl::Time, bool>> under_way;  // until when, and whether it is at the target
+  bool reaches_peers = true;
+  bool reaches_store = true;
+  absl::Time last_disturbed = absl::InfinitePast();
+  std::vector<std::pair<absl::Time, bool>> in_flight;  // end time, and whether it is at the target
   uint64_t confirmed_row = 0;
 };
 
-Gateway startedAgain(const Gateway& before) {
+Gateway restarted(const Gateway& before) {
   Gateway gateway;
-  gateway.life = before.life + 1;
+  gateway.incarnation = before.incarnation + 1;
   return gateway;
 }
 
@@ -56,34 +56,34 @@
   absl::Time now = kStart;
   int tick = 0;
   KnownRecord row{initialRecord(kPool, kOld), 1};  // the store's
-  std::optional<OperatorRequestRow> asked;
+  std::optional<OperatorRequestRow> requested;
   double requests_a_tick = 1;  // of a gateway
-  double bad_part = 0;         // of the target's answers
+  double bad_part = 0;         // fraction of the target's responses
   int bad_from = 0;            // tick
-  // The decider.
-  size_t decider = 0;
-  bool store_answers_decider = true;
+  // The rollout's lease holder.
+  size_t lease_holder = 0;
+  bool reaches_store_as_holder = true;
   VersionVerdict verdict;
-  struct Told {
-    uint64_t life = 0;
+  struct Report {
+    uint64_t incarnation = 0;
     ResponseStats counts;
     uint64_t confirmed_row = 0;
-    absl::Time heard = absl::InfinitePast();
+    absl::Time received = absl::InfinitePast();
   };
-  std::vector<Told> told;
-  // What was seen.
+  std::vector<Report> reports;
+  // Measurements.
   uint64_t to_target = 0;
   uint64_t to_target_watched = 0;
   uint64_t answered = 0;
-  uint64_t before_asked = 0;
+  uint64_t before_requested = 0;
   uint64_t bad_responses = 0;
   absl::Time fiftieth_bad = absl::InfiniteFuture();
   uint64_t after_bound = 0;
   uint64_t at_stopped_base = 0;
 
-  Site(size_t count, uint32_t seed) : gateways(count), random(seed), told(count) {}
+  Site(size_t count, uint32_t seed) : gateways(count), random(seed), reports(count) {}
 
-  double drawn() { return std::uniform_real_distribution<>(0, 1)(random); }
+  double uniform() { return std::uniform_real_distribution<>(0, 1)(random); }
   absl::Duration clock() const { return now - kStart + absl::Seconds(100); }
 
   void play(int ticks) {
@@ -92,7 +92,7 @@
         step(gateway);
       }
       decide();
-      tellNotices();
+      sendNotices();
     }
   }
 
@@ -100,102 +100,102 @@
     if (!gateway.is_up) {
       return;
     }
-    std::erase_if(gateway.under_way, [this](const auto& request) { return request.first <= now; });
-    // A reading takes up to two seconds on its way through readers.
-    if (gateway.hears_store && tick % 10 == 0) {
-      gateway.gate.takeRecord(row, now - absl::Seconds(1));
+    std::erase_if(gateway.in_flight, [this](const auto& request) { return request.first <= now; });
+    // A read through the zone reader is up to two seconds old.
+    if (gateway.reaches_store && tick % 10 == 0) {
+      gateway.splitter.takeRecord(row, now - absl::Seconds(1));
     }
-    const double wanted = requests_a_tick + drawn();
+    const double wanted = requests_a_tick + uniform();
     for (int number = 0; number < static_cast<int>(wanted); ++number) {
       send(gateway);
     }
-    const bool is_base_free = std::all_of(gateway.under_way.begin(), gateway.under_way.end(),
+    const bool is_base_free = std::all_of(gateway.in_flight.begin(), gateway.in_flight.end(),
                                           [](const auto& request) { return request.second; });
-    const auto& known = gateway.gate.known();
+    const auto& known = gateway.splitter.known();
     if (known && known->record.stage == RolloutStage::kFinishing && is_base_free) {
       gateway.confirmed_row = known->row;
     }
-    if (gateway.hears_peers && (tick % kAccountEvery == 0 || gateway.confirmed_row != 0)) {
-      takeAccount(gateway);
+    if (gateway.reaches_peers && (tick % kReportTicks == 0 || gateway.confirmed_row != 0)) {
+      takeReport(gateway);
     }
   }
 
   void send(Gateway& gateway) {
-    const auto variant = gateway.gate.choose(kRoute, drawn(), clock(), now);
-    if (!gateway.gate.base() || !variant) {
+    const auto variant = gateway.splitter.choose(kRoute, uniform(), clock(), now);
+    if (!gateway.splitter.base() || !variant) {
       return;
     }
     ++answered;
-    const SoftwareVersion version = gateway.gate.versionOf(*variant);
+    const SoftwareVersion version = gateway.splitter.versionOf(*variant);
     const bool is_stopped = row.record.stage == RolloutStage::kCompleted && version == kOld;
     at_stopped_base += is_stopped ? 1 : 0;
     if (version == kNew && row.record.stage == RolloutStage::kCompleted) {
       return;
     }
     const Stratum stratum{kRoute, false};
-    const absl::Duration took = absl::Milliseconds(100 + 300 * drawn());
-    gateway.under_way.emplace_back(now + took, *variant == Variant::kTarget);
+    const absl::Duration took = absl::Milliseconds(100 + 300 * uniform());
+    gateway.in_flight.emplace_back(now + took, *variant == Variant::kTarget);
     if (*variant == Variant::kBaseline) {
-      gateway.account.noteResponse(Variant::kBaseline, stratum, took);
-      gateway.gate.noteBaselineResponse(kRoute);
+      gateway.stats.noteResponse(Variant::kBaseline, stratum, took);
+      gateway.splitter.noteBaselineResponse(kRoute);
       return;
     }
     noteAtTarget(gateway);
-    if (tick >= bad_from && drawn() < bad_part) {
-      gateway.account.noteFailure(Variant::kTarget, stratum);
+    if (tick >= bad_from && uniform() < bad_part) {
+      gateway.stats.noteFailure(Variant::kTarget, stratum);
       if (++bad_responses == 50) {
         fiftieth_bad = now;
       }
     } else {
-      gateway.account.noteResponse(Variant::kTarget, stratum, took);
+      gateway.stats.noteResponse(Variant::kTarget, stratum, took);
     }
   }
 
   void noteAtTarget(const Gateway& gateway) {
     ++to_target;
-    to_target_watched += gateway.gate.known()->record.stage == RolloutStage::kWatching ? 1 : 0;
-    before_asked += asked ? 0 : 1;
-    const bool is_in_touch = now - gateway.troubled > kContact;
+    to_target_watched += gateway.splitter.known()->record.stage == RolloutStage::kWatching ? 1 : 0;
+    before_requested += requested ? 0 : 1;
+    const bool is_in_touch = now - gateway.last_disturbed > kContactTime;
     after_bound += is_in_touch && now > fiftieth_bad + kRollbackBound ? 1 : 0;
   }
 
-  void takeAccount(const Gateway& gateway) {
+  void takeReport(const Gateway& gateway) {
     const auto index = static_cast<size_t>(&gateway - gateways.data());
-    const Gateway& decides = gateways[decider];
-    if (!decides.is_up || !decides.hears_peers || !gateway.gate.isRunning()) {
+    const Gateway& holder = gateways[lease_holder];
+    if (!holder.is_up || !holder.reaches_peers || !gateway.splitter.isRunning()) {
       return;
     }
-    Told& last = told[index];
-    if (last.life != gateway.life) {
-      last = Told{gateway.life, {}, 0, now};
+    Report& last = reports[index];
+    if (last.incarnation != gateway.incarnation) {
+      last = Report{gateway.incarnation, {}, 0, now};
     }
-    ResponseStats news;
+    ResponseStats increase;
     for (const Variant variant : {Variant::kBaseline, Variant::kTarget}) {
-      for (const auto& [stratum, counts] : gateway.account.of(variant)) {
-        news.of(variant)[stratum] = counts.since(last.counts.of(variant)[stratum]);
+      for (const auto& [stratum, counts] : gateway.stats.of(variant)) {
+        increase.of(variant)[stratum] = counts.since(last.counts.of(variant)[stratum]);
       }
     }
-    last.counts = gateway.account;
+    last.counts = gateway.stats;
     last.confirmed_row = gateway.confirmed_row;
-    last.heard = now;
-    verdict.take(news, now);
+    last.received = now;
+    verdict.take(increase, now);
   }
 
   void decide() {
-    const Gateway& decides = gateways[decider];
-    if (!decides.is_up || !store_answers_decider) {
+    const Gateway& holder = gateways[lease_holder];
+    if (!holder.is_up || !reaches_store_as_holder) {
       return;
     }
     RolloutInputs inputs;
     inputs.clock = clock();
-    inputs.operators_row = asked;
+    inputs.operators_row = requested;
     verdict.judge(now);
     inputs.verdict = verdict.verdict();
     inputs.have_reachable_confirmed = true;
-    for (const Told& one : told) {
-      const bool is_heard = now - one.heard <= absl::Milliseconds(1600);
+    for (const Report& one : reports) {
+      const bool is_reachable = now - one.received <= absl::Milliseconds(1600);
       const bool has_confirmed = one.confirmed_row == row.row;
-      inputs.have_reachable_confirmed = inputs.have_reachable_confirmed && (!is_heard || has_confirmed);
+      inputs.have_reachable_confirmed = inputs.have_reachable_confirmed && (!is_reachable || has_confirmed);
       inputs.is_any_unreachable = inputs.is_any_unreachable || !has_confirmed;
     }
     if (const auto next = nextTransition(row.record, inputs, RolloutMachineSettings())) {
@@ -206,82 +206,84 @@
     }
   }
 
-  // The base's servers are stopped in this moment.
+  // The baseline's servers are stopped at this moment.
   void checkBaseIsFree() {
     for (const Gateway& gateway : gateways) {
       at_stopped_base += static_cast<uint64_t>(std::count_if(
-          gateway.under_way.begin(), gateway.under_way.end(),
+          gateway.in_flight.begin(), gateway.in_flight.end(),
           [&](const auto& request) { return gateway.is_up && request.first > now && !request.second; }));
     }
   }
 
-  void tellNotices() {
-    const Gateway& decides = gateways[decider];
+  void sendNotices() {
+    const Gateway& holder = gateways[lease_holder];
     const bool is_open = row.record.isRunning() || row.record.stage == RolloutStage::kRolledBack;
-    if (!decides.is_up || !decides.hears_peers || !store_answers_decider || !is_open) {
+    if (!holder.is_up || !holder.reaches_peers || !reaches_store_as_holder || !is_open) {
       return;
     }
     const bool stops = verdict.verdict() == Verdict::kBad;
     for (size_t index = 0; index < gateways.size(); ++index) {
-      const bool is_turn = index % kNoticeEvery == static_cast<size_t>(tick % kNoticeEvery);
-      const bool arrives = drawn() > 0.02;
-      if (is_turn && arrives && gateways[index].is_up && gateways[index].hears_peers) {
-        gateways[index].gate.takeNotice({row, stops}, now);
+      const bool is_due = index % kNoticeTicks == static_cast<size_t>(tick % kNoticeTicks);
+      const bool arrives = uniform() > 0.02;
+      if (is_due && arrives && gateways[index].is_up && gateways[index].reaches_peers) {
+        gateways[index].splitter.takeNotice({row, stops}, now);
       }
     }
   }
 
-  void ask(absl::Duration allowed) { asked = OperatorRequestRow{{kPool, kNew, allowed}, 10, false, clock()}; }
+  void requestRollout(absl::Duration allowed) {
+    requested = OperatorRequestRow{{kPool, kNew, allowed}, 10, false, clock()};
+  }
 
-  // A gateway ends and starts again, or is cut off from peers or the store for a while.
-  void trouble(size_t index, int kind) {
+  // Crashes or restarts a gateway, or toggles its connection to peers or to the store.
+  void disturb(size_t index, int kind) {
     Gateway& gateway = gateways[index];
-    gateway.troubled = now;
+    gateway.last_disturbed = now;
     switch (kind) {
       case 0:
         gateway.is_up = false;
         return;
       case 1:
-        gateway = startedAgain(gateway);
-        gateway.troubled = now;
+        gateway = restarted(gateway);
+        gateway.last_disturbed = now;
         return;
       case 2:
-        gateway.hears_peers = !gateway.hears_peers;
+        gateway.reaches_peers = !gateway.reaches_peers;
         return;
       default:
-        gateway.hears_store = !gateway.hears_store;
+        gateway.reaches_store = !gateway.reaches_store;
         return;
     }
   }
 
-  // The decider ends; whoever follows knows the row alone and gets all accounts anew.
-  void changeDecider() {
-    decider = (decider + 1) % gateways.size();
+  // The lease holder crashes. Its successor knows only the row and receives all stats again.
+  void changeLeaseHolder() {
+    lease_holder = (lease_holder + 1) % gateways.size();
     verdict = VersionVerdict();
-    std::fill(told.begin(), told.end(), Told());
+    std::fill(reports.begin(), reports.end(), Report());
   }
 };
 
-void checkPromises(const Site& site) {
-  CHECK(site.before_asked == 0);
+void checkGuarantees(const Site& site) {
+  CHECK(site.before_requested == 0);
   CHECK(static_cast<double>(site.to_target_watched) <= kShare * static_cast<double>(site.answered));
   CHECK(site.after_bound == 0);
   CHECK(site.at_stopped_base == 0);
 }
 
-TEST_CASE("a good version is completed in time on a calm site of any size, its share used but not passed") {
+TEST_CASE("a good version is completed in time without faults at any site size, within its share") {
   for (const size_t count : {3, 30, 1000}) {
     Site site(count, 1);
     site.requests_a_tick = count == 3 ? 20 : 1;
     site.play(20);
-    site.ask(absl::Seconds(12));
+    site.requestRollout(absl::Seconds(12));
     site.play(60);
     const double used = static_cast<double>(site.to_target) / static_cast<double>(site.answered);
     CHECK(used >= kShare / 3);
     site.play(60);
     CHECK(site.row.record.stage == RolloutStage::kCompleted);
     CHECK(site.row.record.stage_began <= site.row.record.deadline);
-    checkPromises(site);
+    checkGuarantees(site);
   }
 }
 
@@ -292,49 +294,50 @@
       site.bad_part = part;
       site.bad_from = 20 + bad_from;
       site.play(20);
-      site.ask(absl::Seconds(16));
+      site.requestRollout(absl::Seconds(16));
       site.play(170);
       CHECK(site.row.record.stage == RolloutStage::kRolledBack);
       CHECK(site.row.record.base == kOld);
-      checkPromises(site);
+      checkGuarantees(site);
     }
   }
 }
 
-TEST_CASE("a gateway that hears nobody sends the target nothing, and the base only while that is safe") {
+TEST_CASE("an isolated gateway sends the target nothing, and the baseline requests only while that is safe") {
   Site site(20, 3);
   site.requests_a_tick = 4;
   site.play(20);
-  site.ask(absl::Seconds(12));
+  site.requestRollout(absl::Seconds(12));
   site.play(30);
-  site.trouble(5, 2);
-  site.trouble(5, 3);
+  site.disturb(5, 2);
+  site.disturb(5, 3);
   site.play(20);
-  CHECK_FALSE(site.gateways[5].gate.mayUse(kNew, site.clock(), site.now));
-  CHECK(site.gateways[5].gate.mayUse(kOld, site.clock(), site.now));
+  CHECK_FALSE(site.gateways[5].splitter.mayUse(kNew, site.clock(), site.now));
+  CHECK(site.gateways[5].splitter.mayUse(kOld, site.clock(), site.now));
   site.play(60);
-  CHECK_FALSE(site.gateways[5].gate.mayUse(kOld, site.clock(), site.now));
+  CHECK_FALSE(site.gateways[5].splitter.mayUse(kOld, site.clock(), site.now));
   site.play(20);
   INFO("stage began " << absl::FormatDuration(site.row.record.stage_began) << " of "
                       << absl::FormatDuration(site.row.record.deadline));
   CHECK(site.row.record.stage == RolloutStage::kCompleted);
-  checkPromises(site);
+  checkGuarantees(site);
 }
 
-TEST_CASE("a notice of a decider that was replaced says nothing any more") {
-  TrafficSplitter gate(TrafficSplitterSettings{kShare});
+TEST_CASE("a notice of a replaced lease holder has no effect") {
+  TrafficSplitter splitter(TrafficSplitterSettings{kShare});
   RolloutRecord watching = initialRecord(kPool, kOld);
   watching.target = kNew;
   watching.stage = RolloutStage::kWatching;
   RolloutRecord rolled_back = watching;
   rolled_back.stage = RolloutStage::kRolledBack;
-  gate.takeNotice({{rolled_back, 8}, false}, kStart);
-  gate.takeNotice({{watching, 7}, false}, kStart);
-  CHECK_FALSE(gate.mayUse(kNew, absl::ZeroDuration(), kStart));
-  CHECK(gate.mayUse(kOld, absl::ZeroDuration(), kStart));
+  splitter.takeNotice({{rolled_back, 8}, false}, kStart);
+  splitter.takeNotice({{watching, 7}, false}, kStart);
+  CHECK_FALSE(splitter.mayUse(kNew, absl::ZeroDuration(), kStart));
+  CHECK(splitter.mayUse(kOld, absl::ZeroDuration(), kStart));
 }
 
-TEST_CASE("servers of a version that nobody asked for get nothing, whoever was there first or starts later") {
+TEST_CASE(
+    "servers of a version that wasn't requested get nothing, in whatever order servers and gateways start") {
   TrafficSplitter first(TrafficSplitterSettings{kShare});
   first.noteListed({{kOld, 3}});
   first.noteListed({{kOld, 3}, {kNew, 9}});
@@ -346,7 +349,7 @@
   CHECK(later.base() == kOld);
 }
 
-TEST_CASE("whatever gateways, deciders and the store do, the promises of a rollout hold") {
+TEST_CASE("the guarantees of a rollout hold under faults of gateways, lease holders and the store") {
   CHECK(rc::check([] {
     const auto count = *rc::gen::element<size_t>(3, 8, 25, 60);
     Site site(count, *rc::gen::inRange<uint32_t>(0, 1'000'000));
@@ -354,24 +357,24 @@
     site.bad_part = *rc::gen::element(0.0, 0.0, 0.2, 0.6);
     site.bad_from = *rc::gen::inRange(0, 150);
     site.play(20);
-    site.ask(absl::Seconds(*rc::gen::inRange(1, 18)));
-    const auto troubles = *rc::gen::inRange(0, 12);
-    for (int trouble = 0; trouble < troubles; ++trouble) {
+    site.requestRollout(absl::Seconds(*rc::gen::inRange(1, 18)));
+    const auto faults = *rc::gen::inRange(0, 12);
+    for (int fault = 0; fault < faults; ++fault) {
       site.play(*rc::gen::inRange(0, 25));
       const auto index = *rc::gen::inRange<size_t>(0, count);
       const auto kind = *rc::gen::inRange(0, 6);
       if (kind == 4) {
-        site.changeDecider();
+        site.changeLeaseHolder();
       } else if (kind == 5) {
-        site.store_answers_decider = !site.store_answers_decider;
+        site.reaches_store_as_holder = !site.reaches_store_as_holder;
       } else {
-        site.trouble(index, kind);
+        site.disturb(index, kind);
       }
       site.requests_a_tick = *rc::gen::element(0.0, 0.3, 1.0, 6.0);
     }
-    site.store_answers_decider = true;
+    site.reaches_store_as_holder = true;
     site.play(150);
-    RC_ASSERT(site.before_asked == 0U);
+    RC_ASSERT(site.before_requested == 0U);
     RC_ASSERT(static_cast<double>(site.to_target_watched) <= kShare * static_cast<double>(site.answered));
     RC_ASSERT(site.after_bound == 0U);
     RC_ASSERT(site.at_stopped_base == 0U);
--- a/tests/staged_rollout/rollout_state_machine_test.cc
+++ b/tests/staged_rollout/rollout_state_machine_test.cc
@@ -9,10 +9,10 @@
 const SoftwareVersion kOld("v1");
 const SoftwareVersion kNew("v2");
 const RolloutMachineSettings kSettings;
-constexpr absl::Duration kAsked = absl::Seconds(100);
+constexpr absl::Duration kRequestTime = absl::Seconds(100);
 
-OperatorRequestRow asks(const SoftwareVersion& target, absl::Duration allowed, uint64_t row = 10,
-                        absl::Duration seen = kAsked) {
+OperatorRequestRow requestFor(const SoftwareVersion& target, absl::Duration allowed, uint64_t row = 10,
+                              absl::Duration seen = kRequestTime) {
   return {{kPool, target, allowed}, row, false, seen};
 }
 
@@ -23,13 +23,14 @@
   return inputs;
 }
 
-RolloutRecord begun(absl::Duration allowed = absl::Seconds(12)) {
-  const auto next = nextTransition(initialRecord(kPool, kOld), at(kAsked, asks(kNew, allowed)), kSettings);
+RolloutRecord startedRollout(absl::Duration allowed = absl::Seconds(12)) {
+  const auto next =
+      nextTransition(initialRecord(kPool, kOld), at(kRequestTime, requestFor(kNew, allowed)), kSettings);
   REQUIRE(next.has_value());
   return next->record;
 }
 
-// Plays the course in steps of a tenth of a second until that time.
+// Runs the state machine in steps of 100 ms until that time.
 RolloutRecord play(RolloutRecord record, RolloutInputs inputs, absl::Duration until) {
   for (; inputs.clock <= until; inputs.clock += absl::Milliseconds(100)) {
     if (const auto next = nextTransition(record, inputs, kSettings)) {
@@ -39,51 +40,53 @@
   return record;
 }
 
-TEST_CASE("a request begins to be watched, and the operator is told that it runs") {
-  const RolloutRecord record = begun();
+TEST_CASE("a rollout starts in the watching stage, and its status is running") {
+  const RolloutRecord record = startedRollout();
   CHECK(record.stage == RolloutStage::kWatching);
   CHECK(record.base == kOld);
   CHECK(record.target == kNew);
-  CHECK(record.deadline == kAsked + absl::Seconds(12));
+  CHECK(record.deadline == kRequestTime + absl::Seconds(12));
   REQUIRE(statusOf(record).has_value());
   CHECK(statusOf(record)->state == forwarding::RolloutState::kRunning);
   CHECK_FALSE(statusOf(initialRecord(kPool, kOld)).has_value());
 }
 
-TEST_CASE("a good version is watched long, then moved to step by step and completed before its deadline") {
-  RolloutInputs inputs = at(kAsked, asks(kNew, absl::Seconds(12)));
+TEST_CASE(
+    "a good version is watched, then gets its share step by step and is completed before the deadline") {
+  RolloutInputs inputs = at(kRequestTime, requestFor(kNew, absl::Seconds(12)));
   inputs.verdict = Verdict::kGood;
   inputs.have_reachable_confirmed = true;
-  const RolloutRecord watched = play(begun(), inputs, kAsked + absl::Seconds(6));
+  const RolloutRecord watched = play(startedRollout(), inputs, kRequestTime + absl::Seconds(6));
   CHECK(watched.stage == RolloutStage::kWatching);
-  const RolloutRecord ended = play(begun(), inputs, kAsked + absl::Seconds(11));
+  const RolloutRecord ended = play(startedRollout(), inputs, kRequestTime + absl::Seconds(11));
   CHECK(ended.stage == RolloutStage::kCompleted);
   CHECK(ended.base == kNew);
 }
 
-TEST_CASE("completed waits for all that are heard, and for what silent gateways may know") {
-  RolloutInputs inputs = at(kAsked, asks(kNew, absl::Seconds(12)));
+TEST_CASE(
+    "completion waits for all reachable gateways, and until the last updates of unreachable ones expire") {
+  RolloutInputs inputs = at(kRequestTime, requestFor(kNew, absl::Seconds(12)));
   inputs.verdict = Verdict::kGood;
-  RolloutRecord finishing = play(begun(), inputs, kAsked + absl::Seconds(9));
+  RolloutRecord finishing = play(startedRollout(), inputs, kRequestTime + absl::Seconds(9));
   REQUIRE(finishing.stage == RolloutStage::kFinishing);
-  CHECK(play(finishing, inputs, kAsked + absl::Seconds(20)) == finishing);
+  CHECK(play(finishing, inputs, kRequestTime + absl::Seconds(20)) == finishing);
   inputs.have_reachable_confirmed = true;
   inputs.is_any_unreachable = true;
-  inputs.clock = kAsked + absl::Seconds(9);
-  const RolloutRecord ended = play(finishing, inputs, kAsked + absl::Seconds(20));
+  inputs.clock = kRequestTime + absl::Seconds(9);
+  const RolloutRecord ended = play(finishing, inputs, kRequestTime + absl::Seconds(20));
   REQUIRE(ended.stage == RolloutStage::kCompleted);
-  // What silent ones know ran out, and what they had under way ended.
+  // Updates of unreachable gateways have expired, and their in-flight requests have ended.
   const absl::Duration unreachable_stopped = std::max(finishing.base_until, finishing.stage_began);
   CHECK(ended.stage_began >= unreachable_stopped + absl::Seconds(2));
   CHECK(ended.stage_began <= finishing.deadline + absl::Seconds(1));
 }
 
-TEST_CASE("a bad version is rolled back at whatever stage it is found out") {
+TEST_CASE("a bad version is rolled back from any running stage") {
   for (const RolloutStage stage :
        {RolloutStage::kWatching, RolloutStage::kMoving, RolloutStage::kFinishing}) {
-    RolloutRecord record = begun();
+    RolloutRecord record = startedRollout();
     record.stage = stage;
-    RolloutInputs inputs = at(kAsked + absl::Seconds(3), asks(kNew, absl::Seconds(12)));
+    RolloutInputs inputs = at(kRequestTime + absl::Seconds(3), requestFor(kNew, absl::Seconds(12)));
     inputs.verdict = Verdict::kBad;
     inputs.bad_responses = 20;
     const auto next = nextTransition(record, inputs, kSettings);
@@ -96,30 +99,32 @@
   }
 }
 
-TEST_CASE("what can't be judged in its time is rolled back, never completed") {
-  const RolloutInputs open = at(kAsked, asks(kNew, absl::Seconds(12)));
-  CHECK(play(begun(), open, kAsked + absl::Seconds(13)).stage == RolloutStage::kRolledBack);
+TEST_CASE("a rollout without a verdict by its deadline is rolled back, never completed") {
+  const RolloutInputs open = at(kRequestTime, requestFor(kNew, absl::Seconds(12)));
+  CHECK(play(startedRollout(), open, kRequestTime + absl::Seconds(13)).stage == RolloutStage::kRolledBack);
 }
 
-TEST_CASE("too short a time ends in a roll-back at once") {
-  CHECK(begun(absl::Seconds(3)).stage == RolloutStage::kRolledBack);
-  CHECK(begun(absl::ZeroDuration()).stage == RolloutStage::kRolledBack);
+TEST_CASE("a rollout with too little time is rolled back at once") {
+  CHECK(startedRollout(absl::Seconds(3)).stage == RolloutStage::kRolledBack);
+  CHECK(startedRollout(absl::ZeroDuration()).stage == RolloutStage::kRolledBack);
 }
 
-TEST_CASE("a request that comes again goes on, with the later deadline") {
-  const RolloutRecord record = begun();
-  const absl::Duration later = kAsked + absl::Seconds(4);
-  const auto next = nextTransition(record, at(later, asks(kNew, absl::Seconds(12), 11, later)), kSettings);
+TEST_CASE("a repeated request continues the rollout with the later deadline") {
+  const RolloutRecord record = startedRollout();
+  const absl::Duration later = kRequestTime + absl::Seconds(4);
+  const auto next =
+      nextTransition(record, at(later, requestFor(kNew, absl::Seconds(12), 11, later)), kSettings);
   REQUIRE(next.has_value());
   CHECK(next->record.stage == RolloutStage::kWatching);
   CHECK(next->record.began == record.began);
   CHECK(next->record.deadline == later + absl::Seconds(12));
 }
 
-TEST_CASE("another target takes the place of the one that runs, with the same base") {
+TEST_CASE("a request for another target replaces the running rollout and keeps the base") {
   const SoftwareVersion third("v3");
-  const absl::Duration later = kAsked + absl::Seconds(4);
-  const auto next = nextTransition(begun(), at(later, asks(third, absl::Seconds(12), 11, later)), kSettings);
+  const absl::Duration later = kRequestTime + absl::Seconds(4);
+  const auto next =
+      nextTransition(startedRollout(), at(later, requestFor(third, absl::Seconds(12), 11, later)), kSettings);
   REQUIRE(next.has_value());
   CHECK(next->record.stage == RolloutStage::kWatching);
   CHECK(next->record.base == kOld);
@@ -127,37 +132,38 @@
   CHECK(next->record.bad_responses == 0);
 }
 
-TEST_CASE("a request that is taken back, by its row's end or by naming the base, is rolled back") {
-  OperatorRequestRow gone = asks(kNew, absl::Seconds(12), 11);
+TEST_CASE("a request that is withdrawn, by deleting its row or by naming the base, is rolled back") {
+  OperatorRequestRow gone = requestFor(kNew, absl::Seconds(12), 11);
   gone.is_gone = true;
-  for (const OperatorRequestRow& row : {gone, asks(kOld, absl::Seconds(12), 11)}) {
-    const auto next = nextTransition(begun(), at(kAsked + absl::Seconds(1), row), kSettings);
+  for (const OperatorRequestRow& row : {gone, requestFor(kOld, absl::Seconds(12), 11)}) {
+    const auto next = nextTransition(startedRollout(), at(kRequestTime + absl::Seconds(1), row), kSettings);
     REQUIRE(next.has_value());
     CHECK(next->record.stage == RolloutStage::kRolledBack);
     CHECK(next->record.target == kNew);
-    CHECK_FALSE(nextTransition(next->record, at(kAsked + absl::Seconds(2), row), kSettings).has_value());
+    CHECK_FALSE(
+        nextTransition(next->record, at(kRequestTime + absl::Seconds(2), row), kSettings).has_value());
   }
 }
 
-TEST_CASE("a version that all traffic goes to already is completed at once") {
-  const auto next =
-      nextTransition(initialRecord(kPool, kOld), at(kAsked, asks(kOld, absl::Seconds(12))), kSettings);
+TEST_CASE("a request for the version that already gets all traffic is completed at once") {
+  const auto next = nextTransition(initialRecord(kPool, kOld),
+                                   at(kRequestTime, requestFor(kOld, absl::Seconds(12))), kSettings);
   REQUIRE(next.has_value());
   CHECK(next->record.stage == RolloutStage::kCompleted);
   CHECK(next->record.base == kOld);
 }
 
-TEST_CASE("whoever takes over in the middle goes on where the record stands") {
-  RolloutInputs good = at(kAsked, asks(kNew, absl::Seconds(12)));
+TEST_CASE("a new lease holder continues from the record") {
+  RolloutInputs good = at(kRequestTime, requestFor(kNew, absl::Seconds(12)));
   good.verdict = Verdict::kGood;
   good.have_reachable_confirmed = true;
-  // Nobody decides for two seconds, at whatever moment.
+  // There is no lease holder for two seconds, starting at different moments.
   for (int gap = 0; gap < 70; gap += 7) {
-    const absl::Duration gap_begins = kAsked + absl::Milliseconds(100) * gap;
-    const RolloutRecord before = play(begun(), good, gap_begins);
+    const absl::Duration gap_begins = kRequestTime + absl::Milliseconds(100) * gap;
+    const RolloutRecord before = play(startedRollout(), good, gap_begins);
     RolloutInputs after = good;
     after.clock = gap_begins + absl::Seconds(2);
-    CHECK(play(before, after, kAsked + absl::Seconds(12)).stage == RolloutStage::kCompleted);
+    CHECK(play(before, after, kRequestTime + absl::Seconds(12)).stage == RolloutStage::kCompleted);
   }
 }
 
--- a/tests/types/identifiers_test.cc
+++ b/tests/types/identifiers_test.cc
@@ -22,7 +22,7 @@
   CHECK(halve(3).error().execution == Execution::kNotRun);
 }
 
-TEST_CASE("urgency names round-trip and unknown names are refused") {
+TEST_CASE("urgency names round-trip and unknown names are rejected") {
   for (const Urgency urgency : kAllUrgencies) {
     CHECK(urgencyFromName(urgencyName(urgency)) == urgency);
   }
--- a/tests/types/labels_test.cc
+++ b/tests/types/labels_test.cc
@@ -5,7 +5,7 @@
 namespace quincewick {
 namespace {
 
-TEST_CASE("labels answer by key, and a later value replaces an earlier one") {
+TEST_CASE("labels are found by key, and a later value replaces an earlier one") {
   Labels labels{{"tier", "gold"}};
   labels.set("tier", "silver");
   CHECK(labels.get("tier") == "silver");
