--- a/src/staged_rollout/version_verdict.cc
+++ b/src/staged_rollout/version_verdict.cc
@@ -99,7 +99,7 @@
   SequentialTest& test = tests_[stratum];
   test.note(bad, span.target.answers, expected);
   overall_test_.note(bad, span.target.answers, expected);
-  bad_answers_ += bad;
+  bad_responses_ += bad;
   target_responses_ += span.target.answers;
   excess_bad_responses_ += static_cast<double>(bad) - expected * static_cast<double>(span.target.answers);
   excess_bad_responses_ = std::max(excess_bad_responses_, 0.0);
--- a/src/staged_rollout/version_verdict.h
+++ b/src/staged_rollout/version_verdict.h
@@ -33,12 +33,12 @@
   // A bad verdict is final.
   Verdict verdict() const;
   // Of the target, as far as reported.
-  uint64_t badResponses() const { return bad_answers_; }
+  uint64_t badResponses() const { return bad_responses_; }
   uint64_t targetResponses() const { return target_responses_; }
 
  private:
-  // Responses of both variants in the current span, which lasts a second or until the baseline has enough
-  // responses to compare with, but no more than kMaxSpan.
+  // Responses of both variants in the current span. It lasts at least a second and until the baseline has
+  // enough responses to compare with, but ends after 3 s.
   struct Span {
     absl::Time began;
     ResponseCounts base;
@@ -60,7 +60,7 @@
   absl::btree_map<Stratum, SequentialTest> tests_;
   SequentialTest overall_test_;
   bool is_bad_ = false;
-  uint64_t bad_answers_ = 0;
+  uint64_t bad_responses_ = 0;
   uint64_t target_responses_ = 0;
   double excess_bad_responses_ = 0;  // beyond what the baseline's bad rate explains
 };
