--- a/tests/quota/server_rate_test.cc
+++ b/tests/quota/server_rate_test.cc
@@ -53,7 +53,7 @@
   CHECK(static_cast<double>(site.maxRequestsIn(absl::Seconds(4))) <= allowedIn4Seconds(1));
 }
 
-enum class Fault : uint8_t { kStop, kStart, kFreeze, kPartitionDuration, kDelay, kNothing };
+enum class Fault : uint8_t { kStop, kStart, kFreeze, kPartition, kDelay, kNothing };
 
 // One second on a site: a fault of one gateway, and the demand as a multiple of the rate.
 struct Second {
@@ -77,7 +77,7 @@
     case Fault::kFreeze:
       gateway.frozen_until = site.now() + absl::Seconds(3);
       break;
-    case Fault::kPartitionDuration:
+    case Fault::kPartition:
       gateway.partitioned_until = site.now() + kPartitionDuration;
       break;
     case Fault::kDelay:
