--- a/src/gateway/back_end_link.cc
+++ b/src/gateway/back_end_connection.cc
@@ -1,4 +1,4 @@
-#include "gateway/back_end_link.h"
+#include "gateway/back_end_connection.h"
 
 #include <algorithm>
 #include <utility>
@@ -12,25 +12,25 @@
 using reactor::MessageLimits;
 using reactor::ReadStatus;
 
-constexpr absl::Duration kConnectLimit = absl::Milliseconds(250);
-constexpr absl::Duration kSilenceLimit = absl::Seconds(1);
-constexpr MessageLimits kAnswerLimits = {65536, uint64_t{1} << 40};
-constexpr uint32_t kAnswersSkipped = 3;  // late answers to earlier requests on one connection
+constexpr absl::Duration kConnectTimeout = absl::Milliseconds(250);
+constexpr absl::Duration kSilenceTimeout = absl::Seconds(1);
+constexpr MessageLimits kResponseLimits = {65536, uint64_t{1} << 40};
+constexpr uint32_t kMaxSkippedResponses = 3;  // late answers to earlier requests on one connection
 constexpr absl::Duration kIdleMargin = absl::Seconds(1);
-constexpr absl::Duration kShortestIdle = absl::Milliseconds(300);
+constexpr absl::Duration kMinIdleLimit = absl::Milliseconds(300);
 constexpr int kFirstFinalStatus = 200;
 
 }  // namespace
 
-BackEndLink::BackEndLink(BackEndPool& pool, forwarding::ServerDirectory::ServerPointer server)
-    : pool_(pool), server_(std::move(server)), reader_(MessageKind::kAnswer, kAnswerLimits) {}
+BackEndConnection::BackEndConnection(BackEndPool& pool, forwarding::ServerDirectory::ServerPointer server)
+    : pool_(pool), server_(std::move(server)), reader_(MessageKind::kAnswer, kResponseLimits) {}
 
-uint64_t BackEndLink::begin(AttemptRequest request, AttemptListener* listener) {
+uint64_t BackEndConnection::begin(AttemptRequest request, AttemptListener* listener) {
   const uint64_t number = ++number_;
   request_ = std::move(request);
   listener_ = listener;
-  head_told_ = false;
-  skipped_answers_ = 0;
+  is_head_delivered_ = false;
+  skipped_responses_ = 0;
   if (connection_ == nullptr) {
     connect();
   } else {
@@ -39,40 +39,40 @@
   return number;
 }
 
-void BackEndLink::connect() {
+void BackEndConnection::connect() {
   const auto self = shared_from_this();
-  connect_limit_ = pool_.core_.timers.schedule(reactor::steadyNow() + kConnectLimit, [self] {
+  connect_timer_ = pool_.core_.timers.schedule(reactor::steadyNow() + kConnectTimeout, [self] {
     AttemptListener* const listener = self->listener_;
-    self->noteUnconnected(reactor::ConnectResult::kFailed);
-    self->drop();
+    self->recordConnectFailure(reactor::ConnectResult::kFailed);
+    self->close();
     if (listener != nullptr) {
       listener->onNeverSent();
     }
   });
   connection_ = reactor::Connection::connect(
       pool_.core_.reactor, server_->entry.address, [self](reactor::ConnectResult result) {
-        self->pool_.core_.timers.cancel(self->connect_limit_);
+        self->pool_.core_.timers.cancel(self->connect_timer_);
         const bool connected = result == reactor::ConnectResult::kUp;
         if (!connected) {
-          self->noteUnconnected(result);
+          self->recordConnectFailure(result);
         }
         // It may have left, or asked for rest, while the connection was made.
         if (!connected || !self->server_->mayReceive(reactor::steadyNow())) {
           AttemptListener* const listener = self->listener_;
-          self->drop();
+          self->close();
           if (listener != nullptr) {
             listener->onNeverSent();
           }
           return;
         }
         self->server_->connect_failures = 0;
-        self->connection_->dropWhenPeerIsSilent(kSilenceLimit);
+        self->connection_->dropWhenPeerIsSilent(kSilenceTimeout);
         self->connection_->start(self.get());
         self->sendRequest();
       });
 }
 
-void BackEndLink::noteUnconnected(reactor::ConnectResult result) {
+void BackEndConnection::recordConnectFailure(reactor::ConnectResult result) {
   const absl::Time now = reactor::steadyNow();
   forwarding::ServerDirectory::noteConnectFailure(*server_, now);
   pool_.core_.log.event("connect_failed", now)
@@ -80,27 +80,27 @@
       .with("refused", result == reactor::ConnectResult::kRefused ? "true" : "false");
 }
 
-void BackEndLink::sendRequest() {
+void BackEndConnection::sendRequest() {
   const auto self = shared_from_this();
   reader_.next(request_.is_head_method);
   listener_->onSending();
   connection_->send(std::exchange(request_.bytes, std::string()));
 }
 
-void BackEndLink::onBytes(std::string_view bytes) {
+void BackEndConnection::onBytes(std::string_view bytes) {
   const auto self = shared_from_this();
   if (listener_ == nullptr) {
-    drop();  // nobody waits for these
+    close();  // nobody waits for these
     return;
   }
   if (reader_.take(bytes) == ReadStatus::kMalformed || reader_.status() == ReadStatus::kHeaderTooLarge) {
-    broken();
+    failAttempt();
     return;
   }
-  readOn();
+  processInput();
 }
 
-void BackEndLink::readOn() {
+void BackEndConnection::processInput() {
   while (listener_ != nullptr) {
     if (!reader_.headComplete()) {
       return;
@@ -114,12 +114,12 @@
       reader_.take({});
       continue;
     }
-    if (!head_told_ && !takeHead()) {
+    if (!is_head_delivered_ && !handleHead()) {
       if (reader_.status() != ReadStatus::kDone) {
         return;  // the rest of a late answer to an earlier request
       }
-      if (++skipped_answers_ > kAnswersSkipped) {
-        broken();
+      if (++skipped_responses_ > kMaxSkippedResponses) {
+        failAttempt();
         return;
       }
       reader_.next(request_.is_head_method);
@@ -128,7 +128,7 @@
     }
     std::string body = reader_.takeBody();
     if (!body.empty() && listener_ != nullptr) {
-      listener_->onAnswerBody(std::move(body));
+      listener_->onResponseBody(std::move(body));
     }
     if (listener_ != nullptr && reader_.status() == ReadStatus::kDone) {
       finish();
@@ -138,7 +138,7 @@
 }
 
 // Whether the answer is to this attempt; its head has been told then.
-bool BackEndLink::takeHead() {
+bool BackEndConnection::handleHead() {
   const forwarding::AnswerFacts facts = pool_.core_.dialect->readAnswer(reader_.head());
   const bool is_awaited = facts.attempt_id.empty() || facts.attempt_id == request_.attempt_id;
   noteBackPressure(pool_.core_, *server_, facts, is_awaited, reactor::steadyNow());
@@ -147,71 +147,71 @@
     return false;
   }
   if (facts.idle_limit) {
-    idle_limit_ = std::max(*facts.idle_limit - kIdleMargin, kShortestIdle);
+    idle_limit_ = std::max(*facts.idle_limit - kIdleMargin, kMinIdleLimit);
   }
-  head_told_ = true;
-  listener_->onAnswerHead(reader_.head(), facts);
+  is_head_delivered_ = true;
+  listener_->onResponseHead(reader_.head(), facts);
   return true;
 }
 
-void BackEndLink::finish() {
+void BackEndConnection::finish() {
   AttemptListener* const listener = std::exchange(listener_, nullptr);
   const bool reusable = reader_.keepsAlive() && !reader_.lastsToEnd() && reader_.unreadBytes() == 0 &&
                         isOpen() && connection_->unsentBytes() == 0;
   if (reusable) {
     idle_since_ = reactor::steadyNow();
-    pool_.giveBack(shared_from_this());
+    pool_.returnIdle(shared_from_this());
   } else {
-    drop();
+    close();
   }
-  listener->onAnswerEnd();
+  listener->onResponseEnd();
 }
 
-void BackEndLink::broken() {
+void BackEndConnection::failAttempt() {
   AttemptListener* const listener = std::exchange(listener_, nullptr);
-  drop();
+  close();
   if (listener != nullptr) {
-    listener->onAnswerBroken();
+    listener->onResponseBroken();
   }
 }
 
-void BackEndLink::onEnd(reactor::EndKind kind) {
+void BackEndConnection::onEnd(reactor::EndKind kind) {
   const auto self = shared_from_this();
-  if (listener_ != nullptr && kind == reactor::EndKind::kOrderly && head_told_ &&
+  if (listener_ != nullptr && kind == reactor::EndKind::kOrderly && is_head_delivered_ &&
       reader_.takeEnd() == ReadStatus::kDone) {
     finish();
     return;
   }
-  broken();
+  failAttempt();
 }
 
-void BackEndLink::drop() {
+void BackEndConnection::close() {
   const auto self = shared_from_this();
   listener_ = nullptr;
-  if (dropped_) {
+  if (is_closed_) {
     return;
   }
-  dropped_ = true;
-  pool_.core_.timers.cancel(connect_limit_);
+  is_closed_ = true;
+  pool_.core_.timers.cancel(connect_timer_);
   if (connection_ != nullptr) {
     connection_->abort();
   }
-  pool_.forget(this);
+  pool_.remove(this);
 }
 
-void BackEndLink::cancel(uint64_t number) {
+void BackEndConnection::cancel(uint64_t number) {
   if (number == number_ && listener_ != nullptr) {
-    drop();
+    close();
   }
 }
 
-void BackEndLink::pause(uint64_t number) {
+void BackEndConnection::pause(uint64_t number) {
   if (number == number_ && listener_ != nullptr && connection_ != nullptr) {
     connection_->pauseReading();
   }
 }
 
-void BackEndLink::resume(uint64_t number) {
+void BackEndConnection::resume(uint64_t number) {
   if (number == number_ && connection_ != nullptr) {
     connection_->resumeReading();
   }
--- a/src/gateway/back_end_link.h
+++ b/src/gateway/back_end_connection.h
@@ -10,15 +10,15 @@
 
 namespace quincewick::gateway {
 
-class BackEndLink final : public reactor::ConnectionHandler,
-                          public std::enable_shared_from_this<BackEndLink> {
+class BackEndConnection final : public reactor::ConnectionHandler,
+                                public std::enable_shared_from_this<BackEndConnection> {
  public:
-  BackEndLink(BackEndPool& pool, forwarding::ServerDirectory::ServerPointer server);
+  BackEndConnection(BackEndPool& pool, forwarding::ServerDirectory::ServerPointer server);
 
   // Begins an attempt: connects first where there is no connection yet. Returns its number.
   uint64_t begin(AttemptRequest request, AttemptListener* listener);
   // Closes the connection; a listener hears nothing more.
-  void drop();
+  void close();
   // These do nothing once the attempt of that number has ended.
   void cancel(uint64_t number);
   void pause(uint64_t number);
@@ -34,24 +34,24 @@
   void onEnd(reactor::EndKind kind) override;
 
   void connect();
-  void noteUnconnected(reactor::ConnectResult result);
+  void recordConnectFailure(reactor::ConnectResult result);
   void sendRequest();
-  void readOn();
-  bool takeHead();
+  void processInput();
+  bool handleHead();
   void finish();
-  void broken();
+  void failAttempt();
 
   BackEndPool& pool_;
   forwarding::ServerDirectory::ServerPointer server_;
   std::shared_ptr<reactor::Connection> connection_;
-  reactor::TimerQueue::Key connect_limit_;
+  reactor::TimerQueue::Key connect_timer_;
   AttemptRequest request_;
   AttemptListener* listener_ = nullptr;
   reactor::MessageReader reader_;
   uint64_t number_ = 0;
-  bool head_told_ = false;
-  bool dropped_ = false;
-  uint32_t skipped_answers_ = 0;
+  bool is_head_delivered_ = false;
+  bool is_closed_ = false;
+  uint32_t skipped_responses_ = 0;
   absl::Time idle_since_ = absl::InfinitePast();
   absl::Duration idle_limit_ = absl::Seconds(4);
 };
--- a/src/gateway/back_end_pool.cc
+++ b/src/gateway/back_end_pool.cc
@@ -3,79 +3,80 @@
 #include <algorithm>
 #include <utility>
 
-#include "gateway/back_end_link.h"
+#include "gateway/back_end_connection.h"
 
 namespace quincewick::gateway {
 namespace {
 
-constexpr absl::Duration kFreshIdle = absl::Seconds(2);
+constexpr absl::Duration kFreshIdleLimit = absl::Seconds(2);
 
 }  // namespace
 
 void Attempt::cancel() {
-  link_->cancel(number_);
+  connection_->cancel(number_);
 }
 
 void Attempt::pause() {
-  link_->pause(number_);
+  connection_->pause(number_);
 }
 
 void Attempt::resume() {
-  link_->resume(number_);
+  connection_->resume(number_);
 }
 
 std::unique_ptr<Attempt> BackEndPool::start(const forwarding::ServerDirectory::ServerPointer& server,
                                             AttemptRequest request, AttemptListener* listener) {
-  Links& links = links_[server->identity_hash];
+  ServerConnections& server_connections = connections_[server->identity_hash];
   const absl::Time now = reactor::steadyNow();
-  std::shared_ptr<BackEndLink> link;
-  while (link == nullptr && !links.idle.empty()) {
-    const std::shared_ptr<BackEndLink> candidate = links.idle.back();
-    links.idle.pop_back();
-    const absl::Duration rested = now - candidate->idleSince();
-    const absl::Duration limit = request.wants_fresh_connection ? std::min(candidate->idleLimit(), kFreshIdle)
-                                                                : candidate->idleLimit();
-    if (candidate->isOpen() && rested < limit) {
-      link = candidate;
+  std::shared_ptr<BackEndConnection> connection;
+  while (connection == nullptr && !server_connections.idle.empty()) {
+    const std::shared_ptr<BackEndConnection> candidate = server_connections.idle.back();
+    server_connections.idle.pop_back();
+    const absl::Duration idle_time = now - candidate->idleSince();
+    const absl::Duration limit = request.wants_fresh_connection
+                                     ? std::min(candidate->idleLimit(), kFreshIdleLimit)
+                                     : candidate->idleLimit();
+    if (candidate->isOpen() && idle_time < limit) {
+      connection = candidate;
     } else {
-      candidate->drop();
+      candidate->close();
     }
   }
-  if (link == nullptr) {
-    link = std::make_shared<BackEndLink>(*this, server);
-    ++links.open;
+  if (connection == nullptr) {
+    connection = std::make_shared<BackEndConnection>(*this, server);
+    ++server_connections.open;
     ++opened_;
   }
-  const uint64_t number = link->begin(std::move(request), listener);
-  return std::make_unique<Attempt>(link, number);
+  const uint64_t number = connection->begin(std::move(request), listener);
+  return std::make_unique<Attempt>(connection, number);
 }
 
-void BackEndPool::giveBack(const std::shared_ptr<BackEndLink>& link) {
-  links_[link->server()->identity_hash].idle.push_back(link);
+void BackEndPool::returnIdle(const std::shared_ptr<BackEndConnection>& connection) {
+  connections_[connection->server()->identity_hash].idle.push_back(connection);
 }
 
-void BackEndPool::forget(const BackEndLink* link) {
-  const auto found = links_.find(link->server()->identity_hash);
-  if (found == links_.end()) {
+void BackEndPool::remove(const BackEndConnection* connection) {
+  const auto found = connections_.find(connection->server()->identity_hash);
+  if (found == connections_.end()) {
     return;
   }
-  std::erase_if(found->second.idle, [link](const auto& idle) { return idle.get() == link; });
+  std::erase_if(found->second.idle, [connection](const auto& idle) { return idle.get() == connection; });
   --found->second.open;
 }
 
 void BackEndPool::sweep(absl::Time now) {
-  std::vector<std::shared_ptr<BackEndLink>> expired;
-  for (const auto& [server, links] : links_) {
-    for (const auto& link : links.idle) {
-      if (!link->server()->is_listed || now - link->idleSince() >= link->idleLimit()) {
-        expired.push_back(link);
+  std::vector<std::shared_ptr<BackEndConnection>> expired;
+  for (const auto& [server, server_connections] : connections_) {
+    for (const auto& connection : server_connections.idle) {
+      if (!connection->server()->is_listed || now - connection->idleSince() >= connection->idleLimit()) {
+        expired.push_back(connection);
       }
     }
   }
-  for (const auto& link : expired) {
-    link->drop();
+  for (const auto& connection : expired) {
+    connection->close();
   }
-  absl::erase_if(links_, [](const auto& entry) { return entry.second.open == 0; });
+  absl::erase_if(connections_, [](const auto& entry) { return entry.second.open == 0; });
 }
 
 }  // namespace quincewick::gateway
--- a/src/gateway/back_end_pool.h
+++ b/src/gateway/back_end_pool.h
@@ -19,7 +19,7 @@
 
 namespace quincewick::gateway {
 
-// Hears of one attempt. After onNeverSent, onAnswerEnd or onAnswerBroken nothing more comes.
+// Hears of one attempt. After onNeverSent, onResponseEnd or onResponseBroken nothing more comes.
 class AttemptListener {
  public:
   AttemptListener() = default;
@@ -31,11 +31,11 @@
   virtual void onSending() = 0;
   // No connection came up: nothing was sent.
   virtual void onNeverSent() = 0;
-  virtual void onAnswerHead(const HttpHead& head, const forwarding::AnswerFacts& facts) = 0;
-  virtual void onAnswerBody(std::string bytes) = 0;
-  virtual void onAnswerEnd() = 0;
+  virtual void onResponseHead(const HttpHead& head, const forwarding::AnswerFacts& facts) = 0;
+  virtual void onResponseBody(std::string bytes) = 0;
+  virtual void onResponseEnd() = 0;
   // The connection ended, or carried no answer to this request, after the request was sent.
-  virtual void onAnswerBroken() = 0;
+  virtual void onResponseBroken() = 0;
 };
 
 // What goes over the wire for one attempt.
@@ -47,13 +47,14 @@
   bool wants_fresh_connection = false;
 };
 
-class BackEndLink;
+class BackEndConnection;
 
 // One attempt under way.
 class Attempt {
  public:
   // `number` tells the attempt from others that the link carries before and after.
-  Attempt(std::shared_ptr<BackEndLink> link, uint64_t number) : link_(std::move(link)), number_(number) {}
+  Attempt(std::shared_ptr<BackEndConnection> connection, uint64_t number)
+      : connection_(std::move(connection)), number_(number) {}
   Attempt(const Attempt&) = delete;
   Attempt& operator=(const Attempt&) = delete;
   ~Attempt() { cancel(); }
@@ -65,7 +66,7 @@
   void resume();
 
  private:
-  std::shared_ptr<BackEndLink> link_;
+  std::shared_ptr<BackEndConnection> connection_;
   uint64_t number_;
 };
 
@@ -83,17 +84,17 @@
   uint64_t openedConnections() const { return opened_; }
 
  private:
-  friend class BackEndLink;
+  friend class BackEndConnection;
 
-  struct Links {
-    std::vector<std::shared_ptr<BackEndLink>> idle;  // the latest used last
+  struct ServerConnections {
+    std::vector<std::shared_ptr<BackEndConnection>> idle;  // the latest used last
     uint32_t open = 0;
   };
-  void giveBack(const std::shared_ptr<BackEndLink>& link);
-  void forget(const BackEndLink* link);
+  void returnIdle(const std::shared_ptr<BackEndConnection>& connection);
+  void remove(const BackEndConnection* connection);
 
   Core& core_;
-  absl::flat_hash_map<uint64_t, Links> links_;  // by the server's identity hash
+  absl::flat_hash_map<uint64_t, ServerConnections> connections_;  // by the server's identity hash
   uint64_t opened_ = 0;
 };
 
--- a/src/gateway/back_pressure_notes.cc
+++ b/src/gateway/back_pressure_notes.cc
@@ -6,9 +6,9 @@
 namespace {
 
 // The address may have another server by now: what that one says is not the expected server's word.
-bool isOfServer(const forwarding::Server& server, const forwarding::AnswerFacts& facts) {
-  const bool is_named_otherwise = facts.server_id && *facts.server_id != server.entry.id;
-  return !(facts.is_other_server && is_named_otherwise);
+bool isFromServer(const forwarding::Server& server, const forwarding::AnswerFacts& facts) {
+  const bool has_other_id = facts.server_id && *facts.server_id != server.entry.id;
+  return !(facts.is_other_server && has_other_id);
 }
 
 void noteRateLimit(Core& core, const forwarding::Server& server, std::optional<double> rate, absl::Time now) {
@@ -50,7 +50,7 @@
     core.metrics.countBackPressure("unreadable");
     core.log.event("answer_field_refused", now).with("server", server.entry.id).with("field", field);
   }
-  if (!isOfServer(server, facts)) {
+  if (!isFromServer(server, facts)) {
     return;
   }
   const bool ends_limit = is_awaited && facts.unreadable_fields.empty();
--- a/src/gateway/cache_store_watch.cc
+++ b/src/gateway/cache_store_watch.cc
@@ -21,7 +21,7 @@
 }
 
 void CacheStoreWatch::look(const Address& store) {
-  const uint64_t name = Core::nameOfStore(store);
+  const uint64_t name = Core::cacheStoreId(store);
   Look& look = looks_[name];
   if (look.connection != nullptr) {
     return;
@@ -44,16 +44,16 @@
   core_.timers.cancel(look.limit);
   std::exchange(look.connection, nullptr)->abort();
   look.failures = is_reached ? 0 : look.failures + 1;
-  const bool was_dead = core_.dead_cache_stores.contains(name);
+  const bool was_dead = core_.unreachable_cache_stores.contains(name);
   const bool is_dead = look.failures >= kFailuresUntilDead;
   if (is_dead == was_dead) {
     return;
   }
   core_.log.event("cache_store", reactor::steadyNow()).with("reached", is_dead ? "false" : "true");
   if (is_dead) {
-    core_.dead_cache_stores.insert(name);
+    core_.unreachable_cache_stores.insert(name);
   } else {
-    core_.dead_cache_stores.erase(name);
+    core_.unreachable_cache_stores.erase(name);
   }
 }
 
--- a/src/gateway/caller_connection.cc
+++ b/src/gateway/caller_connection.cc
@@ -17,8 +17,8 @@
 constexpr int kHeaderTooLarge = 431;
 constexpr int kNoContent = 204;
 constexpr int kNotModified = 304;
-constexpr absl::Duration kLingerLimit = absl::Seconds(1);
-constexpr size_t kUnreadBytesAtMost = 65536;  // of requests that wait for the one before
+constexpr absl::Duration kLingerTimeout = absl::Seconds(1);
+constexpr size_t kMaxUnreadBytes = 65536;  // of requests that wait for the one before
 
 MessageLimits limitsOf(const Core& core) {
   if (core.in_force.configuration == nullptr) {
@@ -57,7 +57,7 @@
   const bool was_started = reader_.started();
   reader_.take(bytes);
   if (exchange_ != nullptr) {
-    if (reader_.unreadBytes() > kUnreadBytesAtMost) {
+    if (reader_.unreadBytes() > kMaxUnreadBytes) {
       connection_->pauseReading();
     }
     return;
@@ -65,16 +65,16 @@
   if (!was_started) {
     armTimer();
   }
-  readOn();
+  processInput();
 }
 
-void CallerConnection::readOn() {
+void CallerConnection::processInput() {
   if (is_reading_) {
     return;
   }
   is_reading_ = true;
   while (is_open_ && exchange_ == nullptr && reader_.status() == ReadStatus::kDone) {
-    beginExchange();
+    startExchange();
   }
   is_reading_ = false;
   if (!is_open_ || exchange_ != nullptr) {
@@ -82,13 +82,13 @@
   }
   switch (reader_.status()) {
     case ReadStatus::kMalformed:
-      answerBadInput(kBadRequest);
+      rejectInput(kBadRequest);
       return;
     case ReadStatus::kHeaderTooLarge:
-      answerBadInput(kHeaderTooLarge);
+      rejectInput(kHeaderTooLarge);
       return;
     case ReadStatus::kBodyTooLarge:
-      answerBadInput(kTooLarge);
+      rejectInput(kTooLarge);
       return;
     default:
       break;
@@ -101,10 +101,10 @@
   }
 }
 
-void CallerConnection::beginExchange() {
+void CallerConnection::startExchange() {
   core_.timers.cancel(timer_);
   expects_continue_ = false;
-  keeps_open_ = reader_.keepsAlive();
+  keeps_alive_ = reader_.keepsAlive();
   is_bodyless_ = reader_.head().method == "HEAD";
   HttpHead head = reader_.head();
   std::string body = reader_.takeBody();
@@ -116,7 +116,7 @@
 void CallerConnection::sendHead(int status, const std::string& reason, HeaderFields fields,
                                 std::optional<uint64_t> length) {
   if (core_.is_stopping) {
-    keeps_open_ = false;
+    keeps_alive_ = false;
   }
   is_chunked_ = false;
   const bool has_body = status != kNoContent && status != kNotModified;
@@ -124,13 +124,13 @@
     fields.push_back({"Content-Length", absl::StrCat(*length)});
   } else if (has_body && !is_bodyless_) {
     is_chunked_ = !reader_.head().is_http_1_0;
-    keeps_open_ = keeps_open_ && is_chunked_;
+    keeps_alive_ = keeps_alive_ && is_chunked_;
     if (is_chunked_) {
       fields.push_back({"Transfer-Encoding", "chunked"});
     }
   }
-  tells_its_end_ = is_chunked_ || length.has_value();
-  if (!keeps_open_) {
+  is_end_detectable_ = is_chunked_ || length.has_value();
+  if (!keeps_alive_) {
     fields.push_back({"Connection", "close"});
   }
   connection_->send(printAnswerHead(status, reason.empty() ? std::string(reasonOf(status)) : reason, fields));
@@ -158,7 +158,7 @@
   is_chunked_ = false;
   exchange_ = nullptr;
   ++served_;
-  if (!keeps_open_) {
+  if (!keeps_alive_) {
     close(true);
     return;
   }
@@ -166,32 +166,32 @@
   reader_.take({});
   connection_->resumeReading();
   armTimer();
-  readOn();
+  processInput();
 }
 
-void CallerConnection::cut() {
+void CallerConnection::truncate() {
   const auto self = shared_from_this();
   exchange_ = nullptr;
-  close(tells_its_end_);
+  close(is_end_detectable_);
 }
 
 void CallerConnection::onEnd(reactor::EndKind /*kind*/) {
   const auto self = shared_from_this();
   const auto exchange = std::exchange(exchange_, nullptr);
   if (exchange != nullptr) {
-    exchange->callerLeft();
+    exchange->onCallerDisconnected();
   }
   close(false);
 }
 
 void CallerConnection::onSent() {
   if (exchange_ != nullptr) {
-    exchange_->callerCaughtUp();
+    exchange_->onCallerDrained();
   }
 }
 
-void CallerConnection::answerBadInput(int status) {
-  keeps_open_ = false;
+void CallerConnection::rejectInput(int status) {
+  keeps_alive_ = false;
   is_bodyless_ = false;
   core_.log.event("bad_input", reactor::steadyNow()).with("status", status);
   sendHead(status, std::string(reasonOf(status)), {}, 0);
@@ -219,10 +219,10 @@
     armTimer();  // a long body may take its time
     return;
   }
-  answerBadInput(kRequestTimeout);
+  rejectInput(kRequestTimeout);
 }
 
-void CallerConnection::stopSoon() {
+void CallerConnection::closeIfIdle() {
   if (exchange_ == nullptr && !reader_.started() && served_ > 0) {
     const auto self = shared_from_this();
     close(true);
@@ -237,7 +237,7 @@
   core_.timers.cancel(timer_);
   if (linger) {
     connection_->closeWhenSent();
-    core_.timers.schedule(reactor::steadyNow() + kLingerLimit,
+    core_.timers.schedule(reactor::steadyNow() + kLingerTimeout,
                           [connection = connection_] { connection->abort(); });
   } else {
     connection_->abort();
--- a/src/gateway/caller_connection.h
+++ b/src/gateway/caller_connection.h
@@ -7,16 +7,16 @@
 #include <memory>
 #include <string>
 
-#include "gateway/answer_sink.h"
 #include "gateway/core.h"
 #include "gateway/exchange.h"
+#include "gateway/response_sink.h"
 #include "reactor/connection.h"
 #include "reactor/message_reader.h"
 
 namespace quincewick::gateway {
 
 class CallerConnection final : public reactor::ConnectionHandler,
-                               public AnswerSink,
+                               public ResponseSink,
                                public std::enable_shared_from_this<CallerConnection> {
  public:
   // `closed` is called once, when the connection is of no more use.
@@ -27,14 +27,14 @@
 
   void start();
   // The process stops: an idle connection that has served is closed, others after their answer.
-  void stopSoon();
+  void closeIfIdle();
   bool isServing() const { return exchange_ != nullptr; }
 
   void sendHead(int status, const std::string& reason, HeaderFields fields,
                 std::optional<uint64_t> length) override;
   void sendBody(std::string_view bytes) override;
   void finish() override;
-  void cut() override;
+  void truncate() override;
   size_t unsentBytes() const override { return connection_->unsentBytes(); }
 
  private:
@@ -42,9 +42,9 @@
   void onEnd(reactor::EndKind kind) override;
   void onSent() override;
 
-  void readOn();
-  void beginExchange();
-  void answerBadInput(int status);
+  void processInput();
+  void startExchange();
+  void rejectInput(int status);
   void armTimer();
   void onTimer();
   void close(bool linger);
@@ -57,10 +57,10 @@
   std::shared_ptr<Exchange> exchange_;
   reactor::TimerQueue::Key timer_;
   bool is_open_ = true;
-  bool keeps_open_ = true;      // after the answer under way
-  bool is_chunked_ = false;     // the answer under way
-  bool tells_its_end_ = false;  // by a length or chunks: a cut answer does not look whole
-  bool is_bodyless_ = false;    // an answer to HEAD
+  bool keeps_alive_ = true;         // after the answer under way
+  bool is_chunked_ = false;         // the answer under way
+  bool is_end_detectable_ = false;  // by a length or chunks: a cut answer does not look whole
+  bool is_bodyless_ = false;        // an answer to HEAD
   bool expects_continue_ = false;
   bool is_reading_ = false;  // guards against reading on from within an answer
   uint64_t served_ = 0;
--- a/src/gateway/capability_message.cc
+++ b/src/gateway/capability_message.cc
@@ -6,8 +6,8 @@
 namespace {
 
 // A token within a microsecond, or in ten milliseconds: a factor of 25 and of 400 from engines of today.
-constexpr uint32_t kLeastNs = 1'000;
-constexpr uint32_t kMostNs = 10'000'000;
+constexpr uint32_t kMinReadNsPerToken = 1'000;
+constexpr uint32_t kMaxReadNsPerToken = 10'000'000;
 
 uint16_t millisecondsOf(absl::Duration duration) {
   return static_cast<uint16_t>(std::clamp<int64_t>(absl::ToInt64Milliseconds(duration), 0, UINT16_MAX));
@@ -17,15 +17,15 @@
 
 CapabilityMessage messageOf(const forwarding::EngineCapability& capability) {
   CapabilityMessage message;
-  message.read_ns_per_token = static_cast<uint32_t>(
-      std::clamp<int64_t>(absl::ToInt64Nanoseconds(capability.read_per_token), kLeastNs, kMostNs));
+  message.read_ns_per_token = static_cast<uint32_t>(std::clamp<int64_t>(
+      absl::ToInt64Nanoseconds(capability.read_per_token), kMinReadNsPerToken, kMaxReadNsPerToken));
   message.pause_ms = millisecondsOf(capability.pause);
   message.pause_deviation_ms = millisecondsOf(capability.pause_deviation);
   return message;
 }
 
 Result<forwarding::EngineCapability> capabilityFrom(const CapabilityMessage& message) {
-  if (message.read_ns_per_token < kLeastNs || message.read_ns_per_token > kMostNs) {
+  if (message.read_ns_per_token < kMinReadNsPerToken || message.read_ns_per_token > kMaxReadNsPerToken) {
     return fail(ErrorCode::kInvalidArgument, "no engine reads a token in that time");
   }
   forwarding::EngineCapability capability;
--- a/src/gateway/core.cc
+++ b/src/gateway/core.cc
@@ -11,7 +11,7 @@
 namespace {
 
 // Clocks of machines differ by seconds. What is further ahead is no clock.
-constexpr absl::Duration kFurthestAhead = absl::Hours(1);
+constexpr absl::Duration kMaxClockSkew = absl::Hours(1);
 constexpr absl::Duration kRevocationMargin = absl::Milliseconds(300);
 
 forwarding::EnginePlacementSettings placementSettings(const GatewaySettings& settings) {
@@ -48,7 +48,7 @@
       budget(budgetSettings(settings), absl::Uniform(random, 0.0, 1.0)),
       weights(settings.bounds.weights_in_force) {}
 
-uint64_t Core::nameOfStore(const Address& store) {
+uint64_t Core::cacheStoreId(const Address& store) {
   const std::string text = printAddress(store);
   return XXH3_64bits(text.data(), text.size());
 }
@@ -58,22 +58,22 @@
   if (in_force.configuration != nullptr) {
     live = in_force.configuration->cacheStores();
   }
-  if (!dead_cache_stores.empty()) {
+  if (!unreachable_cache_stores.empty()) {
     std::erase_if(live, [this](const forwarding::CacheStoreTraits& store) {
-      return dead_cache_stores.contains(nameOfStore(store.address));
+      return unreachable_cache_stores.contains(cacheStoreId(store.address));
     });
   }
   return live;
 }
 
-void Core::forgetFreedSlots() {
+void Core::clearFreedSlots() {
   for (const forwarding::EngineSlot slot : directory.takeFreedSlots()) {
     placement.forget(slot);
   }
 }
 
 bool Core::isPlausibleStart(absl::Time started) const {
-  return started <= absl::Now() + kFurthestAhead;
+  return started <= absl::Now() + kMaxClockSkew;
 }
 
 void Core::applyBounds(const GatewayBounds& bounds) {
@@ -83,10 +83,10 @@
 }
 
 std::optional<absl::Duration> Core::storeClock(absl::Time now) const {
-  if (!store_clock_ahead) {
+  if (!store_clock_offset) {
     return std::nullopt;
   }
-  return *store_clock_ahead + (now - absl::UnixEpoch());
+  return *store_clock_offset + (now - absl::UnixEpoch());
 }
 
 bool Core::configurationIsCurrent(absl::Time now) const {
--- a/src/gateway/core.h
+++ b/src/gateway/core.h
@@ -30,7 +30,7 @@
   absl::Time confirmed = absl::InfinitePast();  // when the last reading of the store that confirmed it began
 };
 
-class CrashWatch;
+class CrashDetector;
 class OccupancyExchange;
 class QuotaExchange;
 class RolloutExchange;
@@ -52,46 +52,46 @@
   forwarding::RetryBudget budget;
   forwarding::WeightsRegister weights;
   // Placements made since peers were last told.
-  struct NewPlacement {
+  struct UnreportedPlacement {
     uint64_t server = 0;  // its identity hash
     std::vector<BlockKey> keys;
   };
-  std::vector<NewPlacement> new_placements;
+  std::vector<UnreportedPlacement> unreported_placements;
   // Versions of weights that engines' answers told, unknown here before, since peers were last told.
-  struct NewVersion {
+  struct UnreportedVersion {
     uint64_t server = 0;  // its identity hash
     ModelName model;
     WeightsVersion version;
   };
-  std::vector<NewVersion> new_versions;
+  std::vector<UnreportedVersion> unreported_versions;
   // What engines can do, of those whose books this gateway keeps, since peers were last told.
-  struct NewCapability {
+  struct UnreportedCapability {
     uint64_t server = 0;  // its identity hash
     forwarding::EngineCapability capability;
   };
-  std::vector<NewCapability> new_capabilities;
+  std::vector<UnreportedCapability> unreported_capabilities;
   // Stores of kept cache that can't be reached, by name.
-  absl::flat_hash_set<uint64_t> dead_cache_stores;
+  absl::flat_hash_set<uint64_t> unreachable_cache_stores;
   forwarding::StoreHistory store_history;
   // The store's clock less this node's, as its last answer told; nothing before the first one.
-  std::optional<absl::Duration> store_clock_ahead;
-  QuotaExchange* quotas = nullptr;         // set by the gateway before it takes callers
-  OccupancyExchange* occupancy = nullptr;  // the same
-  ServerRates* server_rates = nullptr;     // the same
-  CrashWatch* crashes = nullptr;           // the same
-  RolloutExchange* rollouts = nullptr;     // null: the site moves no versions in stages
+  std::optional<absl::Duration> store_clock_offset;
+  QuotaExchange* quotas = nullptr;          // set by the gateway before it takes callers
+  OccupancyExchange* occupancy = nullptr;   // the same
+  ServerRates* server_rates = nullptr;      // the same
+  CrashDetector* crash_detector = nullptr;  // the same
+  RolloutExchange* rollouts = nullptr;      // null: the site moves no versions in stages
   bool is_stopping = false;
-  bool refuses_requests = false;  // late in a stop: what comes now is told to go elsewhere
-  bool knows_servers = false;
+  bool rejects_requests = false;  // late in a stop: what comes now is told to go elsewhere
+  bool has_server_list = false;
   absl::Time servers_as_of = absl::InfinitePast();  // the list of servers is as it was then, or newer
   size_t requests_under_way = 0;
   uint64_t split_counter = 0;  // spreads requests over a route's services by their weights
 
-  static uint64_t nameOfStore(const Address& store);
+  static uint64_t cacheStoreId(const Address& store);
   // The configuration's stores of kept cache that can be reached, as far as known.
   std::vector<forwarding::CacheStoreTraits> liveCacheStores() const;
   // What is believed of the caches of servers that went is void.
-  void forgetFreedSlots();
+  void clearFreedSlots();
   // Whether a server may have started then, by this node's time of day. One that is far ahead would make
   // every later start an earlier one.
   bool isPlausibleStart(absl::Time started) const;
--- a/src/gateway/crash_watch.h
+++ b/src/gateway/crash_detector.h
@@ -14,34 +14,34 @@
 
 namespace quincewick::gateway {
 
-class CrashWatch {
+class CrashDetector {
  public:
-  CrashWatch(Core& core, CrashExchange& exchange) : core_(core), exchange_(exchange) {}
+  CrashDetector(Core& core, CrashExchange& exchange) : core_(core), exchange_(exchange) {}
 
   // An attempt at a server begins, and is over, however it ended.
   void noteSent(const forwarding::RequestIdentity& identity) { exchange_.noteSent(identity); }
   void noteOver(const forwarding::RequestIdentity& identity) { exchange_.noteOver(identity); }
   // An attempt broke off after its request was sent.
-  void noteBroken(const forwarding::ServerDirectory::ServerPointer& server,
-                  const forwarding::RequestIdentity& identity);
+  void onAttemptBroken(const forwarding::ServerDirectory::ServerPointer& server,
+                       const forwarding::RequestIdentity& identity);
   void noteServed(const forwarding::RequestIdentity& identity) { exchange_.noteServed(identity); }
   // What may be done with the request now. One under suspicion waits while a server is looked at on which it
   // broke off: so it doesn't end the next one meanwhile.
   forwarding::CrashVerdict verdictOn(const forwarding::RequestIdentity& identity);
 
  private:
-  struct Look {
+  struct Probe {
     forwarding::ServerDirectory::ServerPointer server;
-    std::vector<forwarding::RequestIdentity> there;
+    std::vector<forwarding::RequestIdentity> requests;
     std::shared_ptr<reactor::Connection> connection;
-    reactor::TimerQueue::Key limit;
+    reactor::TimerQueue::Key timeout;
   };
 
-  void end(uint64_t life, reactor::ConnectResult result);
+  void finishProbe(uint64_t incarnation, reactor::ConnectResult result);
 
   Core& core_;
   CrashExchange& exchange_;
-  absl::flat_hash_map<uint64_t, Look> looks_;  // under way, by the server's life
+  absl::flat_hash_map<uint64_t, Probe> probes_;  // under way, by the server's life
 };
 
 }  // namespace quincewick::gateway
--- a/src/gateway/crash_exchange.cc
+++ b/src/gateway/crash_exchange.cc
@@ -14,18 +14,18 @@
 using forwarding::ServerEnd;
 
 // Ends of one moment go in one datagram.
-constexpr absl::Duration kGatherTime = absl::Milliseconds(20);
+constexpr absl::Duration kBatchDelay = absl::Milliseconds(20);
 // An end that tells much is told more than once, for datagrams get lost.
-constexpr int kRoundsOfTelling = 3;
-constexpr absl::Duration kRoundPause = absl::Milliseconds(300);
+constexpr int kReportRounds = 3;
+constexpr absl::Duration kRoundInterval = absl::Milliseconds(300);
 // Rounds to all peers. Where more ends come, a rack or a zone goes, and no request is to blame.
-constexpr double kRoundsAtOnce = 8;
-constexpr double kRoundsASecond = 4;
-constexpr size_t kNewsAtMost = 64;
+constexpr double kMaxRoundBurst = 8;
+constexpr double kRoundsPerSecond = 4;
+constexpr size_t kMaxPendingReports = 64;
 // Who starts or comes back hears within about a second what the others know.
-constexpr absl::Duration kBeat = absl::Seconds(1);
-constexpr size_t kPeersABeat = 2;
-constexpr size_t kEndFrame = 2;  // what an end takes of a datagram's room beside its requests
+constexpr absl::Duration kHeartbeatInterval = absl::Seconds(1);
+constexpr size_t kPeersPerHeartbeat = 2;
+constexpr size_t kCrashFrameEntries = 2;  // what an end takes of a datagram's room beside its requests
 
 }  // namespace
 
@@ -35,26 +35,26 @@
 void CrashExchange::start(std::function<bool()> reads_store) {
   reads_store_ = std::move(reads_store);
   peers_.setTaker(peer::PeerModule::kCrashes,
-                  [this](const NodeId& from, std::string_view payload) { return take(from, payload); });
-  beat();
+                  [this](const NodeId& from, std::string_view payload) { return receive(from, payload); });
+  heartbeat();
 }
 
 CrashVerdict CrashExchange::verdictOn(const RequestIdentity& identity) {
   const absl::Time now = reactor::steadyNow();
-  if (!register_.isTrialDue(identity, now) || !isTrialHere(identity)) {
+  if (!register_.isTrialDue(identity, now) || !ownsTrial(identity)) {
     return register_.verdictOn(identity, now);
   }
   register_.takeTrial(identity, now);
   core_.log.event("request_tried_again", now).with("same_as", forwarding::printIdentity(identity));
   CrashMessage message;
-  message.blamed.push_back({identity, true});
-  tellAll(message);
+  message.quarantined.push_back({identity, true});
+  broadcast(message);
   return CrashVerdict::kSend;
 }
 
 // The first in rank of the gateways that are heard. Where two take themselves for it, there are two trials:
 // the site allows three.
-bool CrashExchange::isTrialHere(const RequestIdentity& identity) {
+bool CrashExchange::ownsTrial(const RequestIdentity& identity) {
   std::vector<routing::KeeperMember> members = {{core_.settings.gateway_id, 1}};
   for (const NodeId& peer : peers_.livePeers(reactor::steadyNow())) {
     members.push_back({peer, 1});
@@ -70,34 +70,34 @@
 }
 
 // What was served lately is sound: it is not told as one that was there.
-void CrashExchange::noteEnd(ServerEnd end) {
+void CrashExchange::onServerCrash(ServerEnd end) {
   const absl::Time now = reactor::steadyNow();
   std::erase_if(end.there, [this, now](const auto& identity) { return register_.wasServed(identity, now); });
-  takeEnd(end, true);
-  addNews(end);
+  handleCrash(end, true);
+  queueReport(end);
 }
 
 void CrashExchange::noteServed(const RequestIdentity& identity) {
-  takeSound(identity, true);
+  handleCleared(identity, true);
 }
 
-Result<void> CrashExchange::take(const NodeId& /*from*/, std::string_view payload) {
+Result<void> CrashExchange::receive(const NodeId& /*from*/, std::string_view payload) {
   BOOST_OUTCOME_TRY(message, decodeCrashMessage(payload));
-  for (const RequestIdentity& identity : message.sound) {
-    takeSound(identity, false);
+  for (const RequestIdentity& identity : message.cleared) {
+    handleCleared(identity, false);
   }
-  for (const ServerEnd& end : message.ends) {
-    takeEnd(end, false);
+  for (const ServerEnd& end : message.crashes) {
+    handleCrash(end, false);
   }
-  for (const forwarding::BlamedRequest& blamed : message.blamed) {
-    takeBlamed(blamed);
+  for (const forwarding::BlamedRequest& blamed : message.quarantined) {
+    handleQuarantined(blamed);
   }
   return outcome::success();
 }
 
-void CrashExchange::takeEnd(const ServerEnd& end, bool is_own) {
+void CrashExchange::handleCrash(const ServerEnd& end, bool is_own) {
   for (const RequestIdentity& identity : end.there) {
-    objects(identity);
+    objectIfServed(identity);
   }
   const absl::Time now = reactor::steadyNow();
   if (register_.noteEnd(end, now)) {
@@ -109,67 +109,67 @@
 // All gateways come to it by the same evidence; the one that had its last piece writes it down.
 void CrashExchange::settle(bool writes_record) {
   for (const RequestIdentity& identity : register_.settle(reactor::steadyNow())) {
-    noteBlamed(identity, writes_record ? "own_evidence" : "peers_evidence");
+    logQuarantine(identity, writes_record ? "own_evidence" : "peers_evidence");
     if (writes_record) {
       record_.write(identity);
     }
   }
 }
 
-void CrashExchange::takeSound(const RequestIdentity& identity, bool is_own) {
+void CrashExchange::handleCleared(const RequestIdentity& identity, bool is_own) {
   if (!register_.noteServed(identity, reactor::steadyNow())) {
     return;
   }
   core_.log.event("request_cleared", reactor::steadyNow())
       .with("same_as", forwarding::printIdentity(identity));
   if (is_own) {
-    sound_news_.insert(identity);
-    scheduleTelling(reactor::steadyNow() + kGatherTime);
+    cleared_to_report_.insert(identity);
+    scheduleReports(reactor::steadyNow() + kBatchDelay);
   }
 }
 
-void CrashExchange::takeBlamed(const forwarding::BlamedRequest& blamed) {
-  if (!objects(blamed.identity) && register_.noteBlamed(blamed, reactor::steadyNow())) {
-    noteBlamed(blamed.identity, "told");
+void CrashExchange::handleQuarantined(const forwarding::BlamedRequest& blamed) {
+  if (!objectIfServed(blamed.identity) && register_.noteBlamed(blamed, reactor::steadyNow())) {
+    logQuarantine(blamed.identity, "told");
   }
 }
 
-void CrashExchange::noteBlamed(const RequestIdentity& identity, std::string_view by) {
+void CrashExchange::logQuarantine(const RequestIdentity& identity, std::string_view by) {
   core_.log.event("request_blamed", reactor::steadyNow())
       .with("same_as", forwarding::printIdentity(identity))
       .with("ends", static_cast<int64_t>(register_.endsUnder(identity)))
       .with("by", by);
 }
 
-bool CrashExchange::objects(const RequestIdentity& identity) {
+bool CrashExchange::objectIfServed(const RequestIdentity& identity) {
   const bool was_served = register_.wasServed(identity, reactor::steadyNow());
   if (was_served) {
-    sound_news_.insert(identity);
-    scheduleTelling(reactor::steadyNow() + kGatherTime);
+    cleared_to_report_.insert(identity);
+    scheduleReports(reactor::steadyNow() + kBatchDelay);
   }
   return was_served;
 }
 
-void CrashExchange::addNews(const ServerEnd& end) {
-  const bool tells_much = std::any_of(end.there.begin(), end.there.end(), [this](const auto& identity) {
+void CrashExchange::queueReport(const ServerEnd& end) {
+  const bool is_repeated = std::any_of(end.there.begin(), end.there.end(), [this](const auto& identity) {
     return register_.endsUnder(identity) > 1;
   });
-  const absl::Time due = reactor::steadyNow() + kGatherTime;
-  constexpr size_t most = kCrashMessageRoom - kEndFrame;
+  const absl::Time due = reactor::steadyNow() + kBatchDelay;
+  constexpr size_t most = kCrashMessageCapacity - kCrashFrameEntries;
   for (size_t begin = 0; begin < end.there.size(); begin += most) {
     const size_t size = std::min(most, end.there.size() - begin);
     const auto first = end.there.begin() + static_cast<ptrdiff_t>(begin);
     ServerEnd part{end.life, end.service, {first, first + static_cast<ptrdiff_t>(size)}};
-    news_.push_back({std::move(part), reactor::steadyNow(), due, tells_much ? kRoundsOfTelling : 1});
+    pending_reports_.push_back({std::move(part), reactor::steadyNow(), due, is_repeated ? kReportRounds : 1});
   }
-  while (news_.size() > kNewsAtMost) {
-    news_.pop_front();
-    core_.metrics.countUntoldEnd();
+  while (pending_reports_.size() > kMaxPendingReports) {
+    pending_reports_.pop_front();
+    core_.metrics.countUnreportedCrash();
   }
-  scheduleTelling(due);
+  scheduleReports(due);
 }
 
-void CrashExchange::scheduleTelling(absl::Time at) {
+void CrashExchange::scheduleReports(absl::Time at) {
   if (at >= timer_at_) {
     return;  // the timer that is set comes first, and looks again
   }
@@ -177,78 +177,78 @@
   timer_at_ = at;
   timer_ = core_.timers.schedule(at, [this] {
     timer_at_ = absl::InfiniteFuture();
-    tellNews();
+    sendReports();
   });
 }
 
-void CrashExchange::tellNews() {
+void CrashExchange::sendReports() {
   const absl::Time now = reactor::steadyNow();
-  const double since = std::min(absl::ToDoubleSeconds(now - rounds_counted_), kRoundsAtOnce);
-  rounds_left_ = std::min(kRoundsAtOnce, rounds_left_ + since * kRoundsASecond);
-  rounds_counted_ = now;
-  while (rounds_left_ >= 1) {
-    const CrashMessage message = takeDue(now);
+  const double since = std::min(absl::ToDoubleSeconds(now - round_budget_updated_), kMaxRoundBurst);
+  round_budget_ = std::min(kMaxRoundBurst, round_budget_ + since * kRoundsPerSecond);
+  round_budget_updated_ = now;
+  while (round_budget_ >= 1) {
+    const CrashMessage message = takeDueReports(now);
     if (message.isEmpty()) {
       break;
     }
-    tellAll(message);
-    rounds_left_ -= 1;
+    broadcast(message);
+    round_budget_ -= 1;
   }
-  absl::Time next = sound_news_.empty() ? absl::InfiniteFuture() : now;
-  for (const EndNews& news : news_) {
-    next = std::min(next, news.due);
+  absl::Time next = cleared_to_report_.empty() ? absl::InfiniteFuture() : now;
+  for (const PendingReport& report : pending_reports_) {
+    next = std::min(next, report.due);
   }
   if (next != absl::InfiniteFuture()) {
-    scheduleTelling(std::max(next, now + absl::Seconds(1 / kRoundsASecond)));
+    scheduleReports(std::max(next, now + absl::Seconds(1 / kRoundsPerSecond)));
   }
 }
 
-CrashMessage CrashExchange::takeDue(absl::Time now) {
+CrashMessage CrashExchange::takeDueReports(absl::Time now) {
   CrashMessage message;
-  size_t room = kCrashMessageRoom;
-  while (room > 0 && !sound_news_.empty()) {
-    message.sound.push_back(*sound_news_.begin());
-    sound_news_.erase(sound_news_.begin());
+  size_t room = kCrashMessageCapacity;
+  while (room > 0 && !cleared_to_report_.empty()) {
+    message.cleared.push_back(*cleared_to_report_.begin());
+    cleared_to_report_.erase(cleared_to_report_.begin());
     --room;
   }
-  for (EndNews& news : news_) {
-    const size_t size = kEndFrame + news.end.there.size();
-    if (news.due <= now && size <= room) {
-      message.ends.push_back(news.end);
-      message.ends.back().ago = now - news.seen;
+  for (PendingReport& report : pending_reports_) {
+    const size_t size = kCrashFrameEntries + report.end.there.size();
+    if (report.due <= now && size <= room) {
+      message.crashes.push_back(report.end);
+      message.crashes.back().ago = now - report.seen;
       room -= size;
-      --news.rounds;
-      news.due = now + kRoundPause;
+      --report.rounds;
+      report.due = now + kRoundInterval;
     }
   }
-  std::erase_if(news_, [](const EndNews& news) { return news.rounds == 0; });
+  std::erase_if(pending_reports_, [](const PendingReport& report) { return report.rounds == 0; });
   return message;
 }
 
-void CrashExchange::tellAll(const CrashMessage& message) {
+void CrashExchange::broadcast(const CrashMessage& message) {
   peers_.sendToAll(peer::PeerModule::kCrashes, encodeCrashMessage(message));
 }
 
-void CrashExchange::beat() {
+void CrashExchange::heartbeat() {
   const absl::Time now = reactor::steadyNow();
   register_.forgetOld(now);
   readRecordOnce();
-  tellSome();
-  core_.timers.schedule(now + kBeat, [this] { beat(); });
+  reportToRandomPeers();
+  core_.timers.schedule(now + kHeartbeatInterval, [this] { heartbeat(); });
 }
 
 // Two of the others, drawn at random, hear what a gateway must know that starts or comes back.
-void CrashExchange::tellSome() {
+void CrashExchange::reportToRandomPeers() {
   const auto& peers = directory_.peers();
   CrashMessage message;
-  message.blamed = register_.blamed(kCrashMessageRoom / 2);
-  const size_t room = (kCrashMessageRoom - message.blamed.size()) / (1 + kEndFrame);
-  message.ends = register_.openEnds(room, reactor::steadyNow());
+  message.quarantined = register_.blamed(kCrashMessageCapacity / 2);
+  const size_t room = (kCrashMessageCapacity - message.quarantined.size()) / (1 + kCrashFrameEntries);
+  message.crashes = register_.openEnds(room, reactor::steadyNow());
   if (message.isEmpty() || peers.empty()) {
     return;
   }
   const std::string bytes = encodeCrashMessage(message);
-  for (size_t told = 0; told < kPeersABeat; ++told) {
+  for (size_t sent = 0; sent < kPeersPerHeartbeat; ++sent) {
     const auto drawn = absl::Uniform<size_t>(core_.random, 0, peers.size());
     peers_.sendTo(std::next(peers.begin(), static_cast<ptrdiff_t>(drawn))->first, peer::PeerModule::kCrashes,
                   bytes);
@@ -262,7 +262,7 @@
     // Whether a request that only the record knows was tried once more isn't known any longer.
     record_.read([this](const RequestIdentity& identity) {
       if (!register_.isBlamed(identity)) {
-        takeBlamed({identity, true});
+        handleQuarantined({identity, true});
       }
     });
   }
--- a/src/gateway/crash_exchange.h
+++ b/src/gateway/crash_exchange.h
@@ -28,7 +28,7 @@
   void start(std::function<bool()> reads_store);
 
   // A server ended while these requests of this gateway were there.
-  void noteEnd(forwarding::ServerEnd end);
+  void onServerCrash(forwarding::ServerEnd end);
   // A request was served whole here.
   void noteServed(const forwarding::RequestIdentity& identity);
   // An attempt at a server begins, and is over.
@@ -41,30 +41,30 @@
   size_t suspectCount() const { return register_.suspectCount(); }
 
  private:
-  struct EndNews {
+  struct PendingReport {
     forwarding::ServerEnd end;
     absl::Time seen;
     absl::Time due;
     int rounds = 1;  // in which it is still to be told
   };
 
-  Result<void> take(const NodeId& from, std::string_view payload);
-  void takeEnd(const forwarding::ServerEnd& end, bool is_own);
+  Result<void> receive(const NodeId& from, std::string_view payload);
+  void handleCrash(const forwarding::ServerEnd& end, bool is_own);
   void settle(bool writes_record);
-  void takeSound(const forwarding::RequestIdentity& identity, bool is_own);
-  void takeBlamed(const forwarding::BlamedRequest& blamed);
-  void noteBlamed(const forwarding::RequestIdentity& identity, std::string_view by);
+  void handleCleared(const forwarding::RequestIdentity& identity, bool is_own);
+  void handleQuarantined(const forwarding::BlamedRequest& blamed);
+  void logQuarantine(const forwarding::RequestIdentity& identity, std::string_view by);
   // Whether a request that is charged was served here: then the others hear that.
-  bool objects(const forwarding::RequestIdentity& identity);
-  void addNews(const forwarding::ServerEnd& end);
-  void scheduleTelling(absl::Time at);
-  void tellNews();
+  bool objectIfServed(const forwarding::RequestIdentity& identity);
+  void queueReport(const forwarding::ServerEnd& end);
+  void scheduleReports(absl::Time at);
+  void sendReports();
   // What is due now, as much as a datagram holds.
-  CrashMessage takeDue(absl::Time now);
-  void tellAll(const CrashMessage& message);
-  bool isTrialHere(const forwarding::RequestIdentity& identity);
-  void beat();
-  void tellSome();
+  CrashMessage takeDueReports(absl::Time now);
+  void broadcast(const CrashMessage& message);
+  bool ownsTrial(const forwarding::RequestIdentity& identity);
+  void heartbeat();
+  void reportToRandomPeers();
   void readRecordOnce();
 
   Core& core_;
@@ -74,12 +74,12 @@
   forwarding::CrashRegister register_;
   std::function<bool()> reads_store_ = [] { return false; };
   bool was_reading_ = false;
-  std::deque<EndNews> news_;
-  absl::btree_set<forwarding::RequestIdentity> sound_news_;
+  std::deque<PendingReport> pending_reports_;
+  absl::btree_set<forwarding::RequestIdentity> cleared_to_report_;
   reactor::TimerQueue::Key timer_;
   absl::Time timer_at_ = absl::InfiniteFuture();
-  double rounds_left_ = 0;  // of telling all, saved up
-  absl::Time rounds_counted_ = absl::InfinitePast();
+  double round_budget_ = 0;  // of telling all, saved up
+  absl::Time round_budget_updated_ = absl::InfinitePast();
 };
 
 }  // namespace quincewick::gateway
--- a/src/gateway/crash_message.cc
+++ b/src/gateway/crash_message.cc
@@ -8,17 +8,16 @@
 
 namespace {
 
-constexpr uint32_t kRequestsAtMost = 64;    // of one datagram
-constexpr int64_t kLongestAgo = 3'600'000;  // in milliseconds
+constexpr uint32_t kMaxRequests = 64;     // of one datagram
+constexpr int64_t kMaxAgeMs = 3'600'000;  // in milliseconds
 
 }  // namespace
 
 template <class Archive>
 void serialize(Archive& archive, ServerEnd& end) {
-  auto ago_ms =
-      static_cast<uint32_t>(std::clamp<int64_t>(absl::ToInt64Milliseconds(end.ago), 0, kLongestAgo));
+  auto ago_ms = static_cast<uint32_t>(std::clamp<int64_t>(absl::ToInt64Milliseconds(end.ago), 0, kMaxAgeMs));
   archive(end.life, end.service, ago_ms);
-  archiveList(archive, end.there, kRequestsAtMost);
+  archiveList(archive, end.there, kMaxRequests);
   end.ago = absl::Milliseconds(ago_ms);
 }
 
@@ -33,7 +32,7 @@
 namespace {
 
 constexpr uint8_t kVersion = 1;
-constexpr uint32_t kListedAtMost = 64;
+constexpr uint32_t kMaxListed = 64;
 
 }  // namespace
 
@@ -44,9 +43,9 @@
   if (version != kVersion) {
     throw cereal::Exception("a version that is not known");
   }
-  archiveList(archive, message.ends, kListedAtMost);
-  archiveList(archive, message.sound, kListedAtMost);
-  archiveList(archive, message.blamed, kListedAtMost);
+  archiveList(archive, message.crashes, kMaxListed);
+  archiveList(archive, message.cleared, kMaxListed);
+  archiveList(archive, message.quarantined, kMaxListed);
 }
 
 std::string encodeCrashMessage(const CrashMessage& message) {
--- a/src/gateway/crash_message.h
+++ b/src/gateway/crash_message.h
@@ -14,15 +14,15 @@
 
 // Lists that have nothing to tell are empty.
 struct CrashMessage {
-  std::vector<forwarding::ServerEnd> ends;
-  std::vector<forwarding::RequestIdentity> sound;  // served whole at the sender, though charged
-  std::vector<forwarding::BlamedRequest> blamed;   // to be rejected
+  std::vector<forwarding::ServerEnd> crashes;
+  std::vector<forwarding::RequestIdentity> cleared;    // served whole at the sender, though charged
+  std::vector<forwarding::BlamedRequest> quarantined;  // to be rejected
 
-  bool isEmpty() const { return ends.empty() && sound.empty() && blamed.empty(); }
+  bool isEmpty() const { return crashes.empty() && cleared.empty() && quarantined.empty(); }
 };
 
 // Requests that one datagram holds beside the message's frame, at 17 bytes each; an end counts as two.
-inline constexpr size_t kCrashMessageRoom = 56;
+inline constexpr size_t kCrashMessageCapacity = 56;
 
 std::string encodeCrashMessage(const CrashMessage& message);
 // Decodes untrusted bytes. Errors: kInvalidArgument, also for another version than the one that is known.
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "forwarding/server_choice.h"
-#include "gateway/crash_watch.h"
+#include "gateway/crash_detector.h"
 
 namespace quincewick::gateway {
 namespace {
@@ -15,19 +15,19 @@
 using forwarding::AttemptEnd;
 using forwarding::RepeatKind;
 
-constexpr absl::Duration kLeastTimeToTry = absl::Milliseconds(15);
-constexpr uint32_t kLeastUrgent = 9;
+constexpr absl::Duration kMinTimeToSend = absl::Milliseconds(15);
+constexpr uint32_t kLowestPriority = 9;
 constexpr int kBadGateway = 502;
 // Between looks whether a request that waits may be sent.
-constexpr absl::Duration kCrashVerdictPause = absl::Milliseconds(10);
+constexpr absl::Duration kCrashCheckInterval = absl::Milliseconds(10);
 // What is found of an end is known within 0.4 s. Beyond that a request waits for the runs of other suspects,
 // of which there are many where servers fall all the time: then it goes beside them.
-constexpr absl::Duration kLongestCrashWait = absl::Seconds(1);
-constexpr std::string_view kEndsServers = "ends_servers";
+constexpr absl::Duration kMaxCrashWait = absl::Seconds(1);
+constexpr std::string_view kCrashesServers = "ends_servers";
 
 }  // namespace
 
-Exchange::Exchange(Core& core, BackEndPool& pool, HttpHead head, std::string body, AnswerSink* sink)
+Exchange::Exchange(Core& core, BackEndPool& pool, HttpHead head, std::string body, ResponseSink* sink)
     : core_(core),
       pool_(pool),
       head_(std::move(head)),
@@ -40,7 +40,7 @@
 Exchange::~Exchange() {
   core_.timers.cancel(deadline_timer_);
   core_.timers.cancel(crash_timer_);
-  settleQuota();
+  releaseQuota();
   releaseServer();
   --core_.requests_under_way;
 }
@@ -59,17 +59,17 @@
   setDeadline();
   chooseService();
   core_.budget.noteRequest(service_);
-  if (core_.crashes->verdictOn(identity_) == forwarding::CrashVerdict::kReject) {
+  if (core_.crash_detector->verdictOn(identity_) == forwarding::CrashVerdict::kReject) {
     rejectForCrashes();
     return;
   }
-  askQuota();
+  requestQuota();
 }
 
 void Exchange::tryNext() {
-  places_asked_ = 0;
+  reservations_requested_ = 0;
   software_.reset();
-  if (!mayBeSent()) {
+  if (!maySend()) {
     return;
   }
   if (!chooseTarget()) {
@@ -77,15 +77,15 @@
     return;
   }
   if (engine_ && core_.settings.placement.booked_places) {
-    askForPlace();
+    reserveSlot();
   } else {
-    sendChosen();
+    sendToChosenServer();
   }
 }
 
-bool Exchange::mayBeSent() {
+bool Exchange::maySend() {
   const absl::Time now = reactor::steadyNow();
-  if (deadline_ - now < kLeastTimeToTry) {
+  if (deadline_ - now < kMinTimeToSend) {
     giveUp(true, "no_time_left");
     return false;
   }
@@ -100,17 +100,17 @@
 // through other gateways while this one chose.
 bool Exchange::mayReachServers() {
   const absl::Time now = reactor::steadyNow();
-  switch (core_.crashes->verdictOn(identity_)) {
+  switch (core_.crash_detector->verdictOn(identity_)) {
     case forwarding::CrashVerdict::kSend:
       return true;
     case forwarding::CrashVerdict::kWait:
-      crash_wait_ends_ = std::min(crash_wait_ends_, now + kLongestCrashWait);
+      crash_wait_ends_ = std::min(crash_wait_ends_, now + kMaxCrashWait);
       if (now >= crash_wait_ends_) {
         return true;
       }
       releaseServer();
       server_ = nullptr;
-      crash_timer_ = core_.timers.schedule(now + kCrashVerdictPause, [this] {
+      crash_timer_ = core_.timers.schedule(now + kCrashCheckInterval, [this] {
         const auto self = shared_from_this();
         crash_timer_ = reactor::TimerQueue::Key();
         tryNext();
@@ -125,17 +125,17 @@
 
 // Neither "it has not run", nor a time to come back: it would end the next servers.
 void Exchange::rejectForCrashes() {
-  if (head_passed_ || has_failure_) {
-    giveUp(false, kEndsServers);
+  if (is_head_forwarded_ || has_failure_) {
+    giveUp(false, kCrashesServers);
   } else {
-    refuse(kBadGateway, kEndsServers, absl::ZeroDuration());
+    reject(kBadGateway, kCrashesServers, absl::ZeroDuration());
   }
 }
 
-void Exchange::sendChosen() {
+void Exchange::sendToChosenServer() {
   const absl::Time now = reactor::steadyNow();
   const bool has_waited = engine_ || rate_grant_;
-  if (has_waited && !mayBeSent()) {
+  if (has_waited && !maySend()) {
     return;
   }
   // It may have left, or asked for rest, while the keeper of its books was asked.
@@ -145,7 +145,7 @@
     return;
   }
   if (server_->back_pressure->rateLimit() && !rate_grant_) {
-    askForRate();
+    requestRate();
     return;
   }
   if (ledger_.wouldRepeat() && !mayRepeat(now)) {
@@ -161,12 +161,12 @@
 }
 
 // A tenant's urgency goes before the route's.
-uint32_t Exchange::levelAtEngine() const {
+uint32_t Exchange::enginePriority() const {
   const uint32_t urgency = tenant_ != nullptr && tenant_->urgency ? *tenant_->urgency : route_->urgency;
   if (core_.settings.placement.late_within_class) {
-    return configuration_->levelsOf(service_).levelOf(urgency, gives_way_);
+    return configuration_->levelsOf(service_).levelOf(urgency, yields_);
   }
-  return gives_way_ ? kLeastUrgent : std::min(urgency, kLeastUrgent - 1);
+  return yields_ ? kLowestPriority : std::min(urgency, kLowestPriority - 1);
 }
 
 bool Exchange::mayRepeat(absl::Time now) {
@@ -183,11 +183,11 @@
   const absl::Time now = reactor::steadyNow();
   engine_.reset();
   server_ = nullptr;
-  return core_.rollouts != nullptr ? chooseAmongVersions(now)
-                                   : chooseAmong(core_.directory.ofService(service_), now);
+  return core_.rollouts != nullptr ? chooseServerByVersion(now)
+                                   : chooseServerAmong(core_.directory.ofService(service_), now);
 }
 
-bool Exchange::chooseAmong(const Servers& servers, absl::Time now) {
+bool Exchange::chooseServerAmong(const Servers& servers, absl::Time now) {
   const forwarding::Service* const service = configuration_->findService(service_);
   const bool is_engine = service != nullptr && service->engine.has_value() && !facts_.model.empty();
   return is_engine ? chooseEngine(servers, now) : choosePlainServer(servers, now);
@@ -200,27 +200,27 @@
 
 void Exchange::sendAttempt() {
   attempt_began_ = reactor::steadyNow();
-  rates_asked_ = 0;
+  rates_requested_ = 0;
   verdict_ = Verdict::kBroken;
-  answer_ = HttpHead();
+  response_head_ = HttpHead();
   has_failure_ = false;
-  keeps_answer_ = true;
-  kept_body_.clear();
+  is_buffering_ = true;
+  buffered_body_.clear();
   events_ = {};
   // What gives way waits behind all others: to them it is no work until it has begun.
-  is_read_ = false;
-  attempt_piece_ = absl::InfinitePast();
+  is_prompt_read_ = false;
+  attempt_last_piece_ = absl::InfinitePast();
   attempt_pieces_ = 0;
-  attempt_pause_ = absl::ZeroDuration();
-  gives_way_ = engine_ && isForetoldLate();
-  if (gives_way_ && place_) {
-    core_.occupancy->release(*std::exchange(place_, std::nullopt));
+  attempt_longest_pause_ = absl::ZeroDuration();
+  yields_ = engine_ && isPredictedLate();
+  if (yields_ && reservation_) {
+    core_.occupancy->release(*std::exchange(reservation_, std::nullopt));
   }
   counted_ =
-      gives_way_ ? forwarding::ServerLoad() : forwarding::ServerLoad{1, engine_ ? engine_->read_tokens : 0};
+      yields_ ? forwarding::ServerLoad() : forwarding::ServerLoad{1, engine_ ? engine_->read_tokens : 0};
   if (ledger_.wouldRepeat()) {
     core_.metrics.countRetry();
-    if (head_passed_) {
+    if (is_head_forwarded_) {
       core_.metrics.countResumed();
     }
   }
@@ -243,7 +243,7 @@
     send.last_event_id = absl::StrCat(*last_event_);
   }
   if (engine_) {
-    send.urgency = levelAtEngine();
+    send.urgency = enginePriority();
     send.cache_salt = engine_->salt;
     send.weights_version = engine_->version;
     send.memory_source = engine_->memory_source;
@@ -261,7 +261,7 @@
   request.wants_fresh_connection = !route_->mayRunAgain();
   tried_.push_back(server_->identity_hash);
   is_at_server_ = true;
-  core_.crashes->noteSent(identity_);
+  core_.crash_detector->noteSent(identity_);
   noteRolloutSent();
   attempt_ = pool_.start(server_, std::move(request), this);
 }
@@ -283,14 +283,15 @@
       .with("server", server_->entry.id)
       .with("same_as", forwarding::printIdentity(identity_))
       .with("end", static_cast<int64_t>(end))
-      .with("status", answer_.status)
+      .with("status", response_head_.status)
       .with("after_ms", reactor::steadyNow() - attempt_began_);
   releaseServer();
   attempt_.reset();
   ledger_.noteEnd(end);
-  has_failure_ = end == AttemptEnd::kFailed && !head_passed_ && !forwarding::promisesNotRun(answer_.status);
-  const bool is_cut = head_passed_ && !(route_->kind == RepeatKind::kStream && route_->is_resumable);
-  if (done_ || sink_ == nullptr) {
+  has_failure_ =
+      end == AttemptEnd::kFailed && !is_head_forwarded_ && !forwarding::promisesNotRun(response_head_.status);
+  const bool is_cut = is_head_forwarded_ && !(route_->kind == RepeatKind::kStream && route_->is_resumable);
+  if (is_done_ || sink_ == nullptr) {
     complete("caller_left");
     return;
   }
@@ -303,15 +304,15 @@
 
 void Exchange::releaseServer() {
   settleRollout();
-  settleRate();
+  releaseRate();
   if (std::exchange(is_at_server_, false)) {
-    core_.crashes->noteOver(identity_);
+    core_.crash_detector->noteOver(identity_);
   }
-  if (place_question_) {
-    core_.occupancy->forget(*std::exchange(place_question_, std::nullopt));
+  if (pending_reservation_) {
+    core_.occupancy->cancel(*std::exchange(pending_reservation_, std::nullopt));
   }
-  if (place_) {
-    core_.occupancy->release(*std::exchange(place_, std::nullopt), longestPauseNow());
+  if (reservation_) {
+    core_.occupancy->release(*std::exchange(reservation_, std::nullopt), longestPauseNow());
   }
   if (server_ == nullptr) {
     return;
@@ -321,8 +322,8 @@
   counted_ = {};
 }
 
-void Exchange::outOfTime() {
-  if (done_) {
+void Exchange::onDeadline() {
+  if (is_done_) {
     return;
   }
   const bool was_sent = ledger_.wouldRepeat();
@@ -338,22 +339,22 @@
 
 void Exchange::giveUp(bool out_of_time, std::string_view why) {
   if (has_failure_) {
-    passKeptAnswer();
+    forwardBufferedBody();
     complete("failure_passed_on");
     return;
   }
-  if (head_passed_) {
-    core_.metrics.countCut();
+  if (is_head_forwarded_) {
+    core_.metrics.countTruncated();
     if (sink_ != nullptr) {
-      std::exchange(sink_, nullptr)->cut();
+      std::exchange(sink_, nullptr)->truncate();
     }
     complete(why);
     return;
   }
-  refuse(ledger_.finalStatus(out_of_time), why, retryAfter());
+  reject(ledger_.finalStatus(out_of_time), why, retryAfter());
 }
 
-void Exchange::refuse(int status, std::string_view why, absl::Duration retry_after) {
+void Exchange::reject(int status, std::string_view why, absl::Duration retry_after) {
   if (sink_ != nullptr) {
     const std::string body = absl::StrCat("{\"error\":\"", std::string(why), "\"}\n");
     HeaderFields fields = {{"Content-Type", "application/json"}};
@@ -379,69 +380,69 @@
 }
 
 void Exchange::complete(std::string_view outcome) {
-  if (done_) {
+  if (is_done_) {
     return;
   }
-  done_ = true;
+  is_done_ = true;
   core_.timers.cancel(deadline_timer_);
   core_.timers.cancel(crash_timer_);
-  settleQuota();
+  releaseQuota();
   settleRollout();
   const absl::Time now = reactor::steadyNow();
   core_.metrics.countRequest(route_ == nullptr ? std::nullopt : std::optional(route_->kind), outcome);
-  core_.metrics.observeAnswer(now - began_);
+  core_.metrics.observeResponse(now - began_);
   auto line = core_.log.event("request", now);
   line.with("request", facts_.attempt_id)
       .with("route", route_ == nullptr ? "" : route_->name)
       .with("tenant", tenant_ == nullptr ? "" : tenant_->id.value())
       .with("outcome", outcome)
-      .with("status", answer_.status)
+      .with("status", response_head_.status)
       .with("server", server_ == nullptr ? "" : server_->entry.id)
       .with("tries", static_cast<int64_t>(tried_.size()))
       .with("configuration", configurationVersion())
       .with("configuration_age_ms", configuration_age_)
       .with("took_ms", now - began_);
   if (is_quota_decided_) {
-    line.with("keeper", quota_keeper_.value()).with("quota_ms", quota_took_);
+    line.with("keeper", quota_owner_.value()).with("quota_ms", quota_wait_);
   }
   if (engine_ && first_piece_ != absl::InfiniteFuture()) {
-    core_.metrics.observeForecast(route_->name, first_piece_ - began_ - foretold_first_);
+    core_.metrics.observeForecast(route_->name, first_piece_ - began_ - predicted_first_piece_);
   }
   if (first_piece_ != absl::InfiniteFuture()) {
     line.with("first_ms", first_piece_ - began_).with("pause_ms", longest_pause_);
   }
   if (engine_) {
     line.with("foretold_pause_ms", engine_->pause);
-    line.with("foretold_ms", foretold_first_).with("gives_way", gives_way_ ? "true" : "false");
+    line.with("foretold_ms", predicted_first_piece_).with("gives_way", yields_ ? "true" : "false");
     line.with("weights", static_cast<int64_t>(engine_->version.value()))
         .with("kept", static_cast<int64_t>(engine_->cached_tokens))
         .with("moved", static_cast<int64_t>(engine_->fetched_tokens))
         .with("read", static_cast<int64_t>(engine_->read_tokens))
         .with("shared", static_cast<int64_t>(engine_->shared_tokens));
   }
-  AnswerSink* const sink = std::exchange(sink_, nullptr);
+  ResponseSink* const sink = std::exchange(sink_, nullptr);
   if (sink != nullptr) {
     sink->finish();
   }
   keep_alive_ = nullptr;
 }
 
-void Exchange::callerLeft() {
+void Exchange::onCallerDisconnected() {
   const auto self = shared_from_this();
   sink_ = nullptr;
   const bool may_break_off = route_ == nullptr || route_->kind != RepeatKind::kOnce ||
-                             quota_question_.has_value() || place_question_.has_value() ||
-                             rate_question_.has_value() || crash_timer_ != reactor::TimerQueue::Key();
+                             pending_quota_.has_value() || pending_reservation_.has_value() ||
+                             pending_rate_.has_value() || crash_timer_ != reactor::TimerQueue::Key();
   if (may_break_off) {
     attempt_.reset();
     releaseServer();
     complete("caller_left");
-  } else if (!done_) {
+  } else if (!is_done_) {
     keep_alive_ = self;
   }
 }
 
-void Exchange::callerCaughtUp() {
+void Exchange::onCallerDrained() {
   if (attempt_ != nullptr) {
     attempt_->resume();
   }
--- a/src/gateway/exchange_admission.cc
+++ b/src/gateway/exchange_admission.cc
@@ -7,7 +7,7 @@
 namespace quincewick::gateway {
 namespace {
 
-constexpr double kGoldenRatioPart = 0.6180339887498949;  // spreads a counter evenly over 0 to 1
+constexpr double kGoldenRatioConjugate = 0.6180339887498949;  // spreads a counter evenly over 0 to 1
 constexpr int kUnauthorized = 401;
 constexpr int kNotFound = 404;
 constexpr int kUnavailable = 503;
@@ -29,24 +29,24 @@
 // An outdated configuration may lack what was added since: callers come back then.
 void Exchange::rejectUnknown(int status, std::string_view why) {
   if (core_.configurationIsCurrent(began_)) {
-    refuse(status, why, kRetryAfter);
+    reject(status, why, kRetryAfter);
   } else {
-    refuse(kUnavailable, "configuration_outdated", kRetryAfter);
+    reject(kUnavailable, "configuration_outdated", kRetryAfter);
   }
 }
 
 bool Exchange::admit() {
-  if (core_.refuses_requests) {
-    refuse(kUnavailable, "stopping", kRetryAfter);
+  if (core_.rejects_requests) {
+    reject(kUnavailable, "stopping", kRetryAfter);
     return false;
   }
   if (configuration_ == nullptr) {
-    refuse(kUnavailable, "no_configuration", kRetryAfter);
+    reject(kUnavailable, "no_configuration", kRetryAfter);
     return false;
   }
   const bool knows_versions = core_.rollouts == nullptr || core_.rollouts->knowsRecords();
-  if (!core_.knows_servers || !knows_versions) {
-    refuse(kUnavailable, "servers_not_read_yet", kRetryAfter);
+  if (!core_.has_server_list || !knows_versions) {
+    reject(kUnavailable, "servers_not_read_yet", kRetryAfter);
     return false;
   }
   const std::string* const host = findField(head_.fields, "Host");
@@ -59,7 +59,7 @@
     return true;
   }
   if (!core_.keysAreConfirmed(began_)) {
-    refuse(kUnavailable, "keys_not_confirmed", kRetryAfter);
+    reject(kUnavailable, "keys_not_confirmed", kRetryAfter);
     return false;
   }
   tenant_ = facts_.key ? configuration_->findTenant(*facts_.key) : nullptr;
@@ -80,7 +80,7 @@
   if (deadline_ != absl::InfiniteFuture()) {
     deadline_timer_ = core_.timers.schedule(deadline_, [this] {
       const auto self = shared_from_this();
-      outOfTime();
+      onDeadline();
     });
   }
 }
@@ -91,8 +91,8 @@
     sum += share.weight;
   }
   double place = 0;
-  std::modf(static_cast<double>(++core_.split_counter) * kGoldenRatioPart, &place);
-  double rest = (static_cast<double>(core_.split_counter) * kGoldenRatioPart - place) * sum;
+  std::modf(static_cast<double>(++core_.split_counter) * kGoldenRatioConjugate, &place);
+  double rest = (static_cast<double>(core_.split_counter) * kGoldenRatioConjugate - place) * sum;
   for (const forwarding::ServiceShare& share : route_->shares) {
     service_ = share.service;
     rest -= share.weight;
--- a/src/gateway/exchange_placement.cc
+++ b/src/gateway/exchange_placement.cc
@@ -8,7 +8,7 @@
 namespace quincewick::gateway {
 namespace {
 
-constexpr uint32_t kPlacesAskedAtMost = 3;  // engines for one attempt
+constexpr uint32_t kMaxReservationsPerAttempt = 3;  // engines for one attempt
 
 }  // namespace
 
@@ -38,82 +38,83 @@
 
 // What this gateway knows of others' work at an engine is old: whoever keeps the engine's books knows better.
 // The last of some engines is taken as it is.
-void Exchange::askForPlace() {
-  ++places_asked_;
-  const double most = places_asked_ < kPlacesAskedAtMost ? engine_->most_load_seconds
-                                                         : std::numeric_limits<double>::infinity();
-  is_place_answered_ = false;
-  const uint32_t turn = ++place_turn_;
-  const uint64_t question =
-      core_.occupancy->reserve(*server_, engine_->read_tokens, most, [this](const PlaceAnswer& answer) {
-        const auto self = shared_from_this();
-        takePlace(answer);
-      });
+void Exchange::reserveSlot() {
+  ++reservations_requested_;
+  const double most = reservations_requested_ < kMaxReservationsPerAttempt
+                          ? engine_->most_load_seconds
+                          : std::numeric_limits<double>::infinity();
+  has_reservation_response_ = false;
+  const uint32_t turn = ++reservation_turn_;
+  const uint64_t request_number = core_.occupancy->reserve(*server_, engine_->read_tokens, most,
+                                                           [this](const ReservationResponse& response) {
+                                                             const auto self = shared_from_this();
+                                                             onReservationResponse(response);
+                                                           });
   // An engine whose books are kept here answers at once, and so the next one may have been asked meanwhile:
   // its question is the one to forget when this request ends. Else its answer came to a request that was
   // gone, and ended the process.
-  const bool is_open = turn == place_turn_ && !is_place_answered_;
+  const bool is_open = turn == reservation_turn_ && !has_reservation_response_;
   if (is_open) {
-    place_question_ = question;
+    pending_reservation_ = request_number;
   }
 }
 
-void Exchange::takePlace(const PlaceAnswer& answer) {
-  is_place_answered_ = true;
-  place_question_.reset();
+void Exchange::onReservationResponse(const ReservationResponse& response) {
+  has_reservation_response_ = true;
+  pending_reservation_.reset();
   const absl::Time now = reactor::steadyNow();
-  if (answer.in_hand) {
-    server_->noteBooked(*answer.in_hand, now);
-    server_->capability = {answer.capability, now};
-    engine_->load_seconds = core_.placement.loadSeconds(*answer.in_hand, server_->entry.slots,
+  if (response.load) {
+    server_->noteBooked(*response.load, now);
+    server_->capability = {response.capability, now};
+    engine_->load_seconds = core_.placement.loadSeconds(*response.load, server_->entry.slots,
                                                         core_.placement.capabilityOf(*server_, now));
   }
-  if (answer.is_held) {
-    place_ = answer.place;
+  if (response.is_reserved) {
+    reservation_ = response.reservation;
   }
-  if (answer.is_held || !answer.in_hand) {
-    sendChosen();
+  if (response.is_reserved || !response.load) {
+    sendToChosenServer();
     return;
   }
-  if (!mayBeSent()) {
+  if (!maySend()) {
     return;
   }
   if (chooseTarget()) {
-    askForPlace();
+    reserveSlot();
   } else {
     giveUp(false, kNoServer);
   }
 }
 
 // What gave way has begun: from now on it takes a place like any other.
-void Exchange::reserveBegun() {
-  constexpr double however_much = std::numeric_limits<double>::infinity();
-  is_place_answered_ = false;
-  const uint64_t question =
-      core_.occupancy->reserve(*server_, 0, however_much, [this](const PlaceAnswer& answer) {
-        is_place_answered_ = true;
-        place_question_.reset();
-        if (answer.is_held) {
-          place_ = answer.place;
+void Exchange::reserveStarted() {
+  constexpr double no_limit = std::numeric_limits<double>::infinity();
+  has_reservation_response_ = false;
+  const uint64_t request_number =
+      core_.occupancy->reserve(*server_, 0, no_limit, [this](const ReservationResponse& response) {
+        has_reservation_response_ = true;
+        pending_reservation_.reset();
+        if (response.is_reserved) {
+          reservation_ = response.reservation;
         }
       });
-  if (!is_place_answered_) {
-    place_question_ = question;
+  if (!has_reservation_response_) {
+    pending_reservation_ = request_number;
   }
 }
 
 void Exchange::notePlacement(absl::Time now) {
   if (tried_.empty()) {
-    foretold_first_ = now - began_ + engine_->firstPiece();
+    predicted_first_piece_ = now - began_ + engine_->firstPiece();
   }
   core_.placement.noteKept(server_->slot, engine_->shared_keys, now);
   if (engine_->is_new_placement) {
-    core_.new_placements.push_back({server_->identity_hash, engine_->shared_keys});
+    core_.unreported_placements.push_back({server_->identity_hash, engine_->shared_keys});
   }
 }
 
-bool Exchange::isForetoldLate() const {
-  if (!core_.settings.placement.late_gives_way || !route_->target_latency || head_passed_) {
+bool Exchange::isPredictedLate() const {
+  if (!core_.settings.placement.late_gives_way || !route_->target_latency || is_head_forwarded_) {
     return false;
   }
   const absl::Duration so_far = reactor::steadyNow() - began_;
--- a/src/gateway/exchange_quota.cc
+++ b/src/gateway/exchange_quota.cc
@@ -15,7 +15,7 @@
 }
 
 // Nothing is sent to any server before the tenant's limit allows it.
-void Exchange::askQuota() {
+void Exchange::requestQuota() {
   if (tenant_ == nullptr || !tenant_->limit) {
     tryNext();
     return;
@@ -24,38 +24,38 @@
   const double tokens =
       facts_.declared_tokens ? static_cast<double>(*facts_.declared_tokens) : limit.tokens_if_undeclared;
   quota_cost_ = limit.unit == quota::LimitUnit::kTokens ? tokens : 1;
-  const uint64_t question =
-      core_.quotas->ask(limitName(), quota_cost_, [this](const quota::QuotaDecision& decision) {
+  const uint64_t request_number =
+      core_.quotas->acquire(limitName(), quota_cost_, [this](const quota::QuotaDecision& decision) {
         const auto self = shared_from_this();
-        takeQuota(decision);
+        onQuotaDecision(decision);
       });
   if (!is_quota_decided_) {
-    quota_question_ = question;
+    pending_quota_ = request_number;
   }
 }
 
-void Exchange::takeQuota(const quota::QuotaDecision& decision) {
+void Exchange::onQuotaDecision(const quota::QuotaDecision& decision) {
   is_quota_decided_ = true;
-  quota_question_.reset();
-  quota_took_ = reactor::steadyNow() - began_;
-  quota_keeper_ = decision.keeper;
+  pending_quota_.reset();
+  quota_wait_ = reactor::steadyNow() - began_;
+  quota_owner_ = decision.keeper;
   if (!decision.verdict.is_granted) {
     quota_cost_ = 0;
-    refuse(kTooManyRequests, "over_limit", decision.verdict.retry_after);
+    reject(kTooManyRequests, "over_limit", decision.verdict.retry_after);
     return;
   }
   tryNext();
 }
 
 // At the request's end: an open question is dropped, and what was granted for nothing is given back.
-void Exchange::settleQuota() {
-  if (quota_question_) {
-    core_.quotas->forget(*std::exchange(quota_question_, std::nullopt));
+void Exchange::releaseQuota() {
+  if (pending_quota_) {
+    core_.quotas->cancel(*std::exchange(pending_quota_, std::nullopt));
     return;
   }
   const double cost = std::exchange(quota_cost_, 0);
   if (is_quota_decided_ && cost > 0 && ledger_.execution() == Execution::kNotRun) {
-    core_.quotas->giveBack(limitName(), cost, quota_keeper_);
+    core_.quotas->refund(limitName(), cost, quota_owner_);
   }
 }
 
--- a/src/gateway/exchange_rate.cc
+++ b/src/gateway/exchange_rate.cc
@@ -8,37 +8,37 @@
 namespace quincewick::gateway {
 namespace {
 
-constexpr uint32_t kRatesAskedAtMost = 8;  // servers for one attempt: each takes a round trip
+constexpr uint32_t kMaxRateRequestsPerAttempt = 8;  // servers for one attempt: each takes a round trip
 
 }  // namespace
 
-void Exchange::askForRate() {
-  ++rates_asked_;
-  is_rate_answered_ = false;
+void Exchange::requestRate() {
+  ++rates_requested_;
+  has_rate_decision_ = false;
   const uint32_t turn = ++rate_turn_;
-  const uint64_t question = core_.server_rates->ask(*server_, [this](const RateAnswer& answer) {
+  const uint64_t request_number = core_.server_rates->acquire(*server_, [this](const RateDecision& decision) {
     const auto self = shared_from_this();
-    takeRate(answer);
+    onRateDecision(decision);
   });
   // A keeper in this process answers at once, and the next server may have been asked meanwhile.
-  const bool is_open = turn == rate_turn_ && !is_rate_answered_;
+  const bool is_open = turn == rate_turn_ && !has_rate_decision_;
   if (is_open) {
-    rate_question_ = question;
+    pending_rate_ = request_number;
   }
 }
 
-void Exchange::takeRate(const RateAnswer& answer) {
-  is_rate_answered_ = true;
-  rate_question_.reset();
-  if (answer.is_granted) {
-    rate_grant_ = answer.grant;
-    sendChosen();
+void Exchange::onRateDecision(const RateDecision& decision) {
+  has_rate_decision_ = true;
+  pending_rate_.reset();
+  if (decision.is_granted) {
+    rate_grant_ = decision.grant;
+    sendToChosenServer();
     return;
   }
-  server_->back_pressure->noteRateUsedUp(answer.retry_after, reactor::steadyNow());
+  server_->back_pressure->noteRateUsedUp(decision.retry_after, reactor::steadyNow());
   releaseServer();
   server_ = nullptr;
-  if (rates_asked_ < kRatesAskedAtMost) {
+  if (rates_requested_ < kMaxRateRequestsPerAttempt) {
     tryNext();
   } else {
     giveUp(false, kNoServer);
@@ -46,12 +46,12 @@
 }
 
 // At the end of an attempt: an open question is dropped, and what was granted for nothing is given back.
-void Exchange::settleRate() {
-  if (rate_question_) {
-    core_.server_rates->forget(*std::exchange(rate_question_, std::nullopt));
+void Exchange::releaseRate() {
+  if (pending_rate_) {
+    core_.server_rates->cancel(*std::exchange(pending_rate_, std::nullopt));
   }
   if (rate_grant_) {
-    core_.server_rates->giveBack(*std::exchange(rate_grant_, std::nullopt));
+    core_.server_rates->refund(*std::exchange(rate_grant_, std::nullopt));
   }
 }
 
--- a/src/gateway/exchange_answer.cc
+++ b/src/gateway/exchange_response.cc
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "gateway/crash_watch.h"
+#include "gateway/crash_detector.h"
 #include "gateway/exchange.h"
 
 namespace quincewick::gateway {
@@ -12,10 +12,10 @@
 using forwarding::RepeatKind;
 using forwarding::ServerDirectory;
 
-constexpr size_t kKeptAnswerBytes = 262144;    // a longer answer is passed on as it comes
-constexpr size_t kUnsentBytesAtMost = 262144;  // of a slow caller
+constexpr size_t kMaxBufferedBytes = 262144;  // a longer answer is passed on as it comes
+constexpr size_t kMaxUnsentBytes = 262144;    // of a slow caller
 // A stream of fewer pieces seldom meets the moments that make pauses, such as the reading of a long prompt.
-constexpr uint32_t kPiecesThatTell = 4;
+constexpr uint32_t kMinPiecesForPauses = 4;
 constexpr double kRefusalWeight = 0.5;
 constexpr double kFailureWeight = 0.5;
 constexpr double kBrokenWeight = 1.0;
@@ -40,18 +40,18 @@
       route_->mayRunAgain()) {
     return Verdict::kFailed;
   }
-  return Verdict::kPassOn;
+  return Verdict::kForward;
 }
 
-void Exchange::onAnswerHead(const HttpHead& head, const forwarding::AnswerFacts& facts) {
+void Exchange::onResponseHead(const HttpHead& head, const forwarding::AnswerFacts& facts) {
   const absl::Time now = reactor::steadyNow();
-  answer_ = head;
+  response_head_ = head;
   verdict_ = judge(head, facts);
   const std::string* const length = findField(head.fields, "Content-Length");
-  answer_length_ = length == nullptr ? std::nullopt : parseWhole(*length);
+  response_length_ = length == nullptr ? std::nullopt : parseWhole(*length);
   if (facts.weights_version && !facts_.model.empty()) {
     if (ServerDirectory::noteVersion(*server_, facts_.model, *facts.weights_version)) {
-      core_.new_versions.push_back({server_->identity_hash, facts_.model, *facts.weights_version});
+      core_.unreported_versions.push_back({server_->identity_hash, facts_.model, *facts.weights_version});
     }
   }
   if (facts.is_other_server && facts.server_id && *facts.server_id != server_->entry.id) {
@@ -59,24 +59,24 @@
   }
 }
 
-void Exchange::onAnswerBody(std::string bytes) {
+void Exchange::onResponseBody(std::string bytes) {
   const auto self = shared_from_this();
   if (verdict_ == Verdict::kRefused || verdict_ == Verdict::kBroken) {
     return;
   }
-  const bool is_success = answer_.status >= kFirstSuccess && answer_.status < kFirstRedirect;
+  const bool is_success = response_head_.status >= kFirstSuccess && response_head_.status < kFirstRedirect;
   if (route_->kind == RepeatKind::kStream && is_success) {
-    passEvents(bytes);
+    forwardEvents(bytes);
   } else {
-    keepOrPass(std::move(bytes));
+    bufferOrForward(std::move(bytes));
   }
-  if (sink_ != nullptr && attempt_ != nullptr && sink_->unsentBytes() > kUnsentBytesAtMost) {
+  if (sink_ != nullptr && attempt_ != nullptr && sink_->unsentBytes() > kMaxUnsentBytes) {
     attempt_->pause();
   }
 }
 
 // Only whole events go on, each once: what a server broke off in the middle is not seen by the caller.
-void Exchange::passEvents(std::string_view bytes) {
+void Exchange::forwardEvents(std::string_view bytes) {
   std::string out;
   for (const forwarding::StreamEvent& event : events_.take(bytes)) {
     if (event.id && last_event_ && *event.id <= *last_event_) {
@@ -90,32 +90,32 @@
   if (out.empty()) {
     return;
   }
-  noteReading();
-  notePiece();
-  passHead();
+  onPromptRead();
+  recordPiece();
+  forwardHead();
   if (sink_ != nullptr) {
     sink_->sendBody(out);
   }
 }
 
 // The engine has read the prompt, and the request has a slot.
-void Exchange::noteReading() {
+void Exchange::onPromptRead() {
   server_->own.prefill_tokens -= std::min(server_->own.prefill_tokens, counted_.prefill_tokens);
   counted_.prefill_tokens = 0;
-  if (place_ && !is_read_) {
-    core_.occupancy->noteRead(*place_);
+  if (reservation_ && !is_prompt_read_) {
+    core_.occupancy->noteRead(*reservation_);
   }
-  is_read_ = true;
+  is_prompt_read_ = true;
   if (counted_.running == 0) {
     ++server_->own.running;
     counted_.running = 1;
     if (core_.settings.placement.booked_places) {
-      reserveBegun();
+      reserveStarted();
     }
   }
 }
 
-void Exchange::notePiece() {
+void Exchange::recordPiece() {
   const absl::Time now = reactor::steadyNow();
   if (first_piece_ == absl::InfiniteFuture()) {
     first_piece_ = now;
@@ -124,11 +124,11 @@
     longest_pause_ = std::max(longest_pause_, now - last_piece_);
   }
   last_piece_ = now;
-  if (attempt_piece_ != absl::InfinitePast()) {
-    attempt_pause_ = std::max(attempt_pause_, now - attempt_piece_);
+  if (attempt_last_piece_ != absl::InfinitePast()) {
+    attempt_longest_pause_ = std::max(attempt_longest_pause_, now - attempt_last_piece_);
   }
-  attempt_piece_ = now;
-  if (++attempt_pieces_ == kPiecesThatTell && engine_) {
+  attempt_last_piece_ = now;
+  if (++attempt_pieces_ == kMinPiecesForPauses && engine_) {
     core_.placement.notePauses(facts_.output_tokens);
   }
 }
@@ -136,53 +136,53 @@
 // Of the attempt under way, with the one that lasts: an engine that fell silent ends no pause. Zero where it
 // had too few pieces to tell of the engine.
 absl::Duration Exchange::longestPauseNow() const {
-  if (attempt_pieces_ < kPiecesThatTell) {
+  if (attempt_pieces_ < kMinPiecesForPauses) {
     return absl::ZeroDuration();
   }
-  return std::max(attempt_pause_, reactor::steadyNow() - attempt_piece_);
+  return std::max(attempt_longest_pause_, reactor::steadyNow() - attempt_last_piece_);
 }
 
-void Exchange::passHead() {
-  if (head_passed_) {
+void Exchange::forwardHead() {
+  if (is_head_forwarded_) {
     return;
   }
-  head_passed_ = true;
+  is_head_forwarded_ = true;
   if (sink_ == nullptr) {
     return;
   }
   HeaderFields fields;
-  const std::string* const connection = findField(answer_.fields, "Connection");
-  for (const HeaderField& field : answer_.fields) {
+  const std::string* const connection = findField(response_head_.fields, "Connection");
+  for (const HeaderField& field : response_head_.fields) {
     if (!isHopByHop(field.name, connection == nullptr ? "" : *connection) &&
         findField({field}, "Content-Length") == nullptr) {
       fields.push_back(field);
     }
   }
   const bool is_stream = route_->kind == RepeatKind::kStream;
-  std::optional<uint64_t> length = is_stream ? std::nullopt : answer_length_;
-  if (keeps_answer_ && !is_stream) {
-    length = head_.method == "HEAD" ? answer_length_ : std::optional<uint64_t>(kept_body_.size());
+  std::optional<uint64_t> length = is_stream ? std::nullopt : response_length_;
+  if (is_buffering_ && !is_stream) {
+    length = head_.method == "HEAD" ? response_length_ : std::optional<uint64_t>(buffered_body_.size());
   }
-  sink_->sendHead(answer_.status, answer_.reason, std::move(fields), length);
+  sink_->sendHead(response_head_.status, response_head_.reason, std::move(fields), length);
 }
 
-void Exchange::keepOrPass(std::string bytes) {
-  if (keeps_answer_) {
-    kept_body_ += bytes;
-    if (kept_body_.size() <= kKeptAnswerBytes) {
+void Exchange::bufferOrForward(std::string bytes) {
+  if (is_buffering_) {
+    buffered_body_ += bytes;
+    if (buffered_body_.size() <= kMaxBufferedBytes) {
       return;
     }
-    keeps_answer_ = false;
-    verdict_ = Verdict::kPassOn;  // too long to be kept for another decision
-    bytes = std::exchange(kept_body_, std::string());
-    passHead();
+    is_buffering_ = false;
+    verdict_ = Verdict::kForward;  // too long to be kept for another decision
+    bytes = std::exchange(buffered_body_, std::string());
+    forwardHead();
   }
   if (sink_ != nullptr) {
     sink_->sendBody(bytes);
   }
 }
 
-void Exchange::onAnswerEnd() {
+void Exchange::onResponseEnd() {
   const auto self = shared_from_this();
   const absl::Time now = reactor::steadyNow();
   switch (verdict_) {
@@ -200,24 +200,24 @@
       ServerDirectory::noteFailure(*server_, kFailureWeight, now);
       endAttempt(AttemptEnd::kFailed);
       return;
-    case Verdict::kPassOn:
+    case Verdict::kForward:
       break;
   }
-  noteServersAnswer(now);
+  recordServerResult(now);
   if (engine_ && first_piece_ != absl::InfiniteFuture()) {
     core_.placement.noteServed(now - first_piece_);
   }
-  if (answer_.status >= kFirstSuccess && answer_.status < kFirstRedirect) {
-    core_.crashes->noteServed(identity_);
+  if (response_head_.status >= kFirstSuccess && response_head_.status < kFirstRedirect) {
+    core_.crash_detector->noteServed(identity_);
   }
-  passKeptAnswer();
+  forwardBufferedBody();
   complete("answered");
 }
 
 // A failure that is passed on, for the request may not run again, is a failure all the same: counted as a
 // quick answer, it drew all further requests to its server.
-void Exchange::noteServersAnswer(absl::Time now) {
-  if (answer_.status >= kFirstServerError) {
+void Exchange::recordServerResult(absl::Time now) {
+  if (response_head_.status >= kFirstServerError) {
     noteRolloutEnd(RolloutExchange::End::kFailed);
     ServerDirectory::noteFailure(*server_, kFailureWeight, now);
   } else {
@@ -226,23 +226,23 @@
   }
 }
 
-void Exchange::passKeptAnswer() {
-  passHead();
+void Exchange::forwardBufferedBody() {
+  forwardHead();
   if (sink_ == nullptr) {
     return;
   }
   const std::string& rest =
-      route_->kind == RepeatKind::kStream && kept_body_.empty() ? events_.rest() : kept_body_;
+      route_->kind == RepeatKind::kStream && buffered_body_.empty() ? events_.rest() : buffered_body_;
   if (!rest.empty()) {
     sink_->sendBody(rest);
   }
 }
 
-void Exchange::onAnswerBroken() {
+void Exchange::onResponseBroken() {
   const auto self = shared_from_this();
   noteRolloutEnd(RolloutExchange::End::kFailed);
   ServerDirectory::noteFailure(*server_, kBrokenWeight, reactor::steadyNow());
-  core_.crashes->noteBroken(server_, identity_);
+  core_.crash_detector->onAttemptBroken(server_, identity_);
   endAttempt(AttemptEnd::kUnknown);
 }
 
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -10,10 +10,10 @@
 namespace quincewick::gateway {
 namespace {
 
-constexpr absl::Duration kTick = absl::Milliseconds(200);
+constexpr absl::Duration kTickInterval = absl::Milliseconds(200);
 // Callers' entry asks each second and takes a gateway out after two answers that it is not ready. What still
 // comes after that is told at once to go elsewhere.
-constexpr absl::Duration kShortestStop = absl::Milliseconds(2600);
+constexpr absl::Duration kMinStopTime = absl::Milliseconds(2600);
 constexpr absl::Duration kStopMargin = absl::Milliseconds(400);
 constexpr int kOk = 200;
 constexpr int kUnavailable = 503;
@@ -41,7 +41,7 @@
       server_rates_(core_, peer_directory_, peers_),
       occupancy_(core_, peer_directory_, peers_),
       crash_exchange_(core_, peer_directory_, peers_),
-      crashes_(core_, crash_exchange_),
+      crash_detector_(core_, crash_exchange_),
       rollouts_(core_, peers_),
       rollout_director_(core_, peer_directory_, peers_, rollouts_),
       relay_(core_, peer_directory_),
@@ -54,17 +54,17 @@
 
 Result<void> Gateway::start() {
   const GatewayListenSettings& listen = core_.settings.listen;
-  callers_ = std::make_unique<reactor::Listener>(
+  caller_listener_ = std::make_unique<reactor::Listener>(
       core_.reactor, listen.callers,
       [this](reactor::Connection::Socket socket) { acceptCaller(std::move(socket)); });
-  readiness_ = std::make_unique<reactor::PlainServer>(core_.reactor, listen.readiness,
-                                                      [this](const HttpHead&) { return answerReadiness(); });
+  readiness_server_ = std::make_unique<reactor::PlainServer>(
+      core_.reactor, listen.readiness, [this](const HttpHead&) { return handleReadiness(); });
   if (listen.metrics) {
-    metrics_ = std::make_unique<reactor::PlainServer>(core_.reactor, *listen.metrics,
-                                                      [this](const HttpHead&) { return answerMetrics(); });
+    metrics_server_ = std::make_unique<reactor::PlainServer>(
+        core_.reactor, *listen.metrics, [this](const HttpHead&) { return handleMetrics(); });
   }
-  const bool are_bound = callers_->isListening() && readiness_->isListening() &&
-                         (metrics_ == nullptr || metrics_->isListening());
+  const bool are_bound = caller_listener_->isListening() && readiness_server_->isListening() &&
+                         (metrics_server_ == nullptr || metrics_server_->isListening());
   if (!are_bound) {
     return fail(ErrorCode::kUnavailable, "an address to listen at can't be bound");
   }
@@ -73,7 +73,7 @@
   core_.quotas = &quotas_;
   core_.server_rates = &server_rates_;
   core_.occupancy = &occupancy_;
-  core_.crashes = &crashes_;
+  core_.crash_detector = &crash_detector_;
   quotas_.start();
   server_rates_.start();
   occupancy_.start();
@@ -87,7 +87,7 @@
   startPeers();
   orders_.start();
   cache_stores_.start();
-  tick();
+  onTick();
   return outcome::success();
 }
 
@@ -112,7 +112,7 @@
 }
 
 bool Gateway::isReady() const {
-  return !core_.is_stopping && core_.in_force.configuration != nullptr && core_.knows_servers &&
+  return !core_.is_stopping && core_.in_force.configuration != nullptr && core_.has_server_list &&
          core_.keysAreConfirmed(reactor::steadyNow()) &&
          (core_.rollouts == nullptr || core_.rollouts->knowsRecords());
 }
@@ -127,32 +127,32 @@
   connection->start();
 }
 
-reactor::PlainAnswer Gateway::answerReadiness() const {
+reactor::PlainAnswer Gateway::handleReadiness() const {
   reactor::PlainAnswer answer;
   answer.status = isReady() ? kOk : kUnavailable;
   return answer;
 }
 
-reactor::PlainAnswer Gateway::answerMetrics() {
+reactor::PlainAnswer Gateway::handleMetrics() {
   const absl::Time now = reactor::steadyNow();
-  GatewayMetrics::Levels levels;
+  GatewayMetrics::Gauges gauges;
   if (core_.in_force.configuration != nullptr) {
-    levels.configuration_version = static_cast<double>(core_.in_force.configuration->version().value());
-    levels.configuration_age_seconds = absl::ToDoubleSeconds(now - core_.in_force.confirmed);
+    gauges.configuration_version = static_cast<double>(core_.in_force.configuration->version().value());
+    gauges.configuration_age_seconds = absl::ToDoubleSeconds(now - core_.in_force.confirmed);
   }
-  levels.holds_lease = orders_.holdsLease(now) ? 1 : 0;
-  levels.peers = static_cast<double>(peers_.livePeers(now).size());
-  levels.servers = static_cast<double>(core_.directory.all().size());
-  levels.servers_age_seconds = absl::ToDoubleSeconds(now - core_.servers_as_of);
-  levels.repeats_left = core_.budget.fewestLeft();
-  levels.requests_suspect = static_cast<double>(crash_exchange_.suspectCount());
-  levels.requests_blamed = static_cast<double>(crash_exchange_.blamedCount());
-  levels.rollouts_running = core_.rollouts != nullptr && core_.rollouts->isAnyRunning() ? 1 : 0;
-  levels.caller_connections = static_cast<double>(connections_.size());
-  levels.server_connections_opened = static_cast<double>(pool_.openedConnections());
-  levels.requests_under_way = static_cast<double>(core_.requests_under_way);
-  levels.log_lines_dropped = static_cast<double>(core_.log.droppedLines());
-  return {kOk, "text/plain; version=0.0.4", core_.metrics.print(levels)};
+  gauges.holds_lease = orders_.holdsLease(now) ? 1 : 0;
+  gauges.peers = static_cast<double>(peers_.livePeers(now).size());
+  gauges.servers = static_cast<double>(core_.directory.all().size());
+  gauges.servers_age_seconds = absl::ToDoubleSeconds(now - core_.servers_as_of);
+  gauges.repeats_left = core_.budget.fewestLeft();
+  gauges.requests_suspect = static_cast<double>(crash_exchange_.suspectCount());
+  gauges.requests_blamed = static_cast<double>(crash_exchange_.blamedCount());
+  gauges.rollouts_running = core_.rollouts != nullptr && core_.rollouts->isAnyRunning() ? 1 : 0;
+  gauges.caller_connections = static_cast<double>(connections_.size());
+  gauges.server_connections_opened = static_cast<double>(pool_.openedConnections());
+  gauges.requests_under_way = static_cast<double>(core_.requests_under_way);
+  gauges.log_lines_dropped = static_cast<double>(core_.log.droppedLines());
+  return {kOk, "text/plain; version=0.0.4", core_.metrics.print(gauges)};
 }
 
 void Gateway::awaitSignal() {
@@ -179,7 +179,7 @@
   }
 }
 
-void Gateway::stopInGoodOrder() {
+void Gateway::stopGracefully() {
   boost::asio::post(core_.reactor, [this] { beginStop(); });
 }
 
@@ -192,7 +192,7 @@
   core_.log.event("stopping", stop_began_).with("under_way", static_cast<int64_t>(core_.requests_under_way));
 }
 
-void Gateway::tick() {
+void Gateway::onTick() {
   const absl::Time now = reactor::steadyNow();
   pool_.sweep(now);
   if (std::exchange(was_ready_, isReady()) != isReady()) {
@@ -202,18 +202,18 @@
   if (core_.is_stopping) {
     checkStopped();
   }
-  core_.timers.schedule(now + kTick, [this] { tick(); });
+  core_.timers.schedule(now + kTickInterval, [this] { onTick(); });
 }
 
 // What is in hand is served to the end of the grace; idle connections stay until the entry has looked away.
 void Gateway::checkStopped() {
   const absl::Duration stopping = reactor::steadyNow() - stop_began_;
   const bool grace_is_over = stopping >= core_.settings.bounds.stop_grace - kStopMargin;
-  if (stopping < kShortestStop) {
+  if (stopping < kMinStopTime) {
     return;
   }
-  core_.refuses_requests = true;
-  callers_->close();
+  core_.rejects_requests = true;
+  caller_listener_->close();
   std::vector<std::shared_ptr<CallerConnection>> idle;
   for (const auto& [pointer, connection] : connections_) {
     if (!connection->isServing()) {
@@ -221,7 +221,7 @@
     }
   }
   for (const auto& connection : idle) {
-    connection->stopSoon();
+    connection->closeIfIdle();
   }
   const bool is_done = core_.requests_under_way == 0 && !orders_.isCarryingOut(reactor::steadyNow());
   if (is_done || grace_is_over) {
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -13,8 +13,8 @@
 #include "gateway/cache_store_watch.h"
 #include "gateway/caller_connection.h"
 #include "gateway/core.h"
+#include "gateway/crash_detector.h"
 #include "gateway/crash_exchange.h"
-#include "gateway/crash_watch.h"
 #include "gateway/occupancy_exchange.h"
 #include "gateway/order_giver.h"
 #include "gateway/peer_directory.h"
@@ -43,27 +43,27 @@
   // Ends `run` soon; for tests.
   void stop() { core_.reactor.stop(); }
   // Begins the planned stop, as the signal does. From any thread.
-  void stopInGoodOrder();
+  void stopGracefully();
   // Where the settings come from when the signal to reload comes: nothing while they can't be read. Set
   // before `run`.
   using Reload = std::function<std::optional<GatewaySettings>()>;
   void setReload(Reload reload) { reload_ = std::move(reload); }
 
-  uint16_t callersPort() const { return callers_->port(); }
-  uint16_t readinessPort() const { return readiness_->port(); }
+  uint16_t callersPort() const { return caller_listener_->port(); }
+  uint16_t readinessPort() const { return readiness_server_->port(); }
   // 0: it tells no metrics.
-  uint16_t metricsPort() const { return metrics_ == nullptr ? 0 : metrics_->port(); }
+  uint16_t metricsPort() const { return metrics_server_ == nullptr ? 0 : metrics_server_->port(); }
   bool isReady() const;
 
  private:
   void startPeers();
   void acceptCaller(reactor::Connection::Socket socket);
-  reactor::PlainAnswer answerReadiness() const;
-  reactor::PlainAnswer answerMetrics();
+  reactor::PlainAnswer handleReadiness() const;
+  reactor::PlainAnswer handleMetrics();
   void awaitSignal();
   void beginStop();
   void reload();
-  void tick();
+  void onTick();
   void checkStopped();
 
   Core core_;
@@ -74,7 +74,7 @@
   ServerRates server_rates_;
   OccupancyExchange occupancy_;
   CrashExchange crash_exchange_;
-  CrashWatch crashes_;
+  CrashDetector crash_detector_;
   RolloutExchange rollouts_;
   RolloutDirector rollout_director_;
   RowRelay relay_;
@@ -82,9 +82,9 @@
   OrderGiver orders_;
   CacheStoreWatch cache_stores_;
   boost::asio::signal_set signals_;
-  std::unique_ptr<reactor::Listener> callers_;
-  std::unique_ptr<reactor::PlainServer> readiness_;
-  std::unique_ptr<reactor::PlainServer> metrics_;
+  std::unique_ptr<reactor::Listener> caller_listener_;
+  std::unique_ptr<reactor::PlainServer> readiness_server_;
+  std::unique_ptr<reactor::PlainServer> metrics_server_;
   absl::flat_hash_map<CallerConnection*, std::shared_ptr<CallerConnection>> connections_;
   absl::Time stop_began_ = absl::InfiniteFuture();
   bool was_ready_ = false;
--- a/src/gateway/gateway_metrics.cc
+++ b/src/gateway/gateway_metrics.cc
@@ -58,7 +58,7 @@
   return "unknown";
 }
 
-void addLevel(std::vector<prometheus::MetricFamily>& families, const char* name, const char* help,
+void addGauge(std::vector<prometheus::MetricFamily>& families, const char* name, const char* help,
               double value) {
   prometheus::MetricFamily family;
   family.name = name;
@@ -94,7 +94,7 @@
       retries_(counter(registry_, "quincewick_retries_total", "Requests sent to a further server.")),
       streams_resumed_(
           counter(registry_, "quincewick_streams_resumed_total", "Streams that went on elsewhere.")),
-      streams_cut_(counter(registry_, "quincewick_streams_cut_total", "Answers broken off midway.")),
+      responses_truncated_(counter(registry_, "quincewick_streams_cut_total", "Answers broken off midway.")),
       datagrams_refused_(counter(registry_, "quincewick_datagrams_refused_total",
                                  "Messages of peers that were forged or can't be read.")),
       store_went_back_(counter(registry_, "quincewick_store_went_back_total",
@@ -102,10 +102,10 @@
       outdated_decisions_(
           counter(registry_, "quincewick_outdated_decisions_total",
                   "Requests decided by a configuration that was confirmed longer ago than its bound.")),
-      server_ends_(counter(registry_, "quincewick_server_ends_total",
-                           "Servers that ended while requests of this gateway were there.")),
-      ends_untold_(counter(registry_, "quincewick_server_ends_untold_total",
-                           "Ends that peers were not told of, for there were too many.")),
+      server_crashes_(counter(registry_, "quincewick_server_ends_total",
+                              "Servers that ended while requests of this gateway were there.")),
+      crashes_unreported_(counter(registry_, "quincewick_server_ends_untold_total",
+                                  "Ends that peers were not told of, for there were too many.")),
       to_base_(&counters(registry_, "quincewick_rollout_requests_total",
                          "Requests by the side of a rollout that they went to.")
                     .Add({{"side", "base"}})),
@@ -114,9 +114,10 @@
                       .Add({{"side", "target"}})),
       configuration_age_(histogram(registry_, "quincewick_decision_configuration_age_seconds",
                                    "Since the configuration was confirmed that a request was decided by.")),
-      first_piece_(histogram(registry_, "quincewick_first_piece_seconds", "Until a stream's first piece.")),
-      answer_(histogram(registry_, "quincewick_answer_seconds", "Until an answer was whole.")),
-      store_call_(
+      first_piece_seconds_(
+          histogram(registry_, "quincewick_first_piece_seconds", "Until a stream's first piece.")),
+      answer_seconds_(histogram(registry_, "quincewick_answer_seconds", "Until an answer was whole.")),
+      store_call_seconds_(
           histogram(registry_, "quincewick_store_call_seconds", "Store calls, waits for changes apart.")) {}
 
 void GatewayMetrics::countRequest(std::optional<RepeatKind> kind, std::string_view outcome) {
@@ -143,53 +144,53 @@
 }
 
 // As many series as the configuration has routes.
-void GatewayMetrics::observeForecast(std::string_view route, absl::Duration off) {
+void GatewayMetrics::observeForecast(std::string_view route, absl::Duration error) {
   forecast_.Add({{"route", std::string(route)}}, latencyBuckets())
-      .Observe(absl::ToDoubleSeconds(absl::AbsDuration(off)));
+      .Observe(absl::ToDoubleSeconds(absl::AbsDuration(error)));
 }
 
 void GatewayMetrics::countRefusedRow(std::string_view table) {
   rows_refused_.Add({{"table", std::string(table)}}).Increment();
 }
 
-void GatewayMetrics::countBackPressure(std::string_view what) {
-  back_pressure_.Add({{"what", std::string(what)}}).Increment();
+void GatewayMetrics::countBackPressure(std::string_view change) {
+  back_pressure_.Add({{"what", std::string(change)}}).Increment();
 }
 
 void GatewayMetrics::countRateDecision(bool is_granted) {
   rate_decisions_.Add({{"granted", is_granted ? "true" : "false"}}).Increment();
 }
 
-void GatewayMetrics::countPromptTokens(uint64_t kept, uint64_t moved, uint64_t read) {
-  prompt_tokens_.Add({{"how", "kept"}}).Increment(static_cast<double>(kept));
-  prompt_tokens_.Add({{"how", "moved"}}).Increment(static_cast<double>(moved));
-  prompt_tokens_.Add({{"how", "read"}}).Increment(static_cast<double>(read));
+void GatewayMetrics::countPromptTokens(uint64_t cached, uint64_t fetched, uint64_t prefilled) {
+  prompt_tokens_.Add({{"how", "kept"}}).Increment(static_cast<double>(cached));
+  prompt_tokens_.Add({{"how", "moved"}}).Increment(static_cast<double>(fetched));
+  prompt_tokens_.Add({{"how", "read"}}).Increment(static_cast<double>(prefilled));
 }
 
-std::string GatewayMetrics::print(const Levels& levels) {
+std::string GatewayMetrics::print(const Gauges& gauges) {
   auto families = registry_.Collect();
-  addLevel(families, "quincewick_configuration_version", "In force here.", levels.configuration_version);
-  addLevel(families, "quincewick_configuration_age_seconds", "Since the store confirmed it.",
-           levels.configuration_age_seconds);
-  addLevel(families, "quincewick_holds_lease", "1: gives orders to engines.", levels.holds_lease);
-  addLevel(families, "quincewick_peers", "Gateways heard of lately.", levels.peers);
-  addLevel(families, "quincewick_servers", "Servers listed.", levels.servers);
-  addLevel(families, "quincewick_servers_age_seconds", "Since the list of servers was as it is known here.",
-           levels.servers_age_seconds);
-  addLevel(families, "quincewick_repeats_left",
+  addGauge(families, "quincewick_configuration_version", "In force here.", gauges.configuration_version);
+  addGauge(families, "quincewick_configuration_age_seconds", "Since the store confirmed it.",
+           gauges.configuration_age_seconds);
+  addGauge(families, "quincewick_holds_lease", "1: gives orders to engines.", gauges.holds_lease);
+  addGauge(families, "quincewick_peers", "Gateways heard of lately.", gauges.peers);
+  addGauge(families, "quincewick_servers", "Servers listed.", gauges.servers);
+  addGauge(families, "quincewick_servers_age_seconds", "Since the list of servers was as it is known here.",
+           gauges.servers_age_seconds);
+  addGauge(families, "quincewick_repeats_left",
            "Requests that may go to a further server now, of the service with the fewest.",
-           levels.repeats_left);
-  addLevel(families, "quincewick_requests_suspect", "Requests under which servers ended.",
-           levels.requests_suspect);
-  addLevel(families, "quincewick_requests_blamed", "Requests that are rejected, for they end servers.",
-           levels.requests_blamed);
-  addLevel(families, "quincewick_rollouts_running", "1: traffic of a service moves to another version.",
-           levels.rollouts_running);
-  addLevel(families, "quincewick_caller_connections", "Open.", levels.caller_connections);
-  addLevel(families, "quincewick_server_connections_opened", "Since the start.",
-           levels.server_connections_opened);
-  addLevel(families, "quincewick_requests_under_way", "Read and not ended.", levels.requests_under_way);
-  addLevel(families, "quincewick_log_lines_dropped", "Since the start.", levels.log_lines_dropped);
+           gauges.repeats_left);
+  addGauge(families, "quincewick_requests_suspect", "Requests under which servers ended.",
+           gauges.requests_suspect);
+  addGauge(families, "quincewick_requests_blamed", "Requests that are rejected, for they end servers.",
+           gauges.requests_blamed);
+  addGauge(families, "quincewick_rollouts_running", "1: traffic of a service moves to another version.",
+           gauges.rollouts_running);
+  addGauge(families, "quincewick_caller_connections", "Open.", gauges.caller_connections);
+  addGauge(families, "quincewick_server_connections_opened", "Since the start.",
+           gauges.server_connections_opened);
+  addGauge(families, "quincewick_requests_under_way", "Read and not ended.", gauges.requests_under_way);
+  addGauge(families, "quincewick_log_lines_dropped", "Since the start.", gauges.log_lines_dropped);
   return prometheus::TextSerializer().Serialize(families);
 }
 
--- a/src/gateway/gateway_metrics.h
+++ b/src/gateway/gateway_metrics.h
@@ -32,7 +32,7 @@
   void countAttempt(forwarding::AttemptEnd end);
   void countRetry() { retries_->Increment(); }
   void countResumed() { streams_resumed_->Increment(); }
-  void countCut() { streams_cut_->Increment(); }
+  void countTruncated() { responses_truncated_->Increment(); }
   void countRefusedDatagram() { datagrams_refused_->Increment(); }
   void countStoreWentBack() { store_went_back_->Increment(); }
   // A request goes to a side of a rollout, or to the only version there is.
@@ -40,23 +40,23 @@
     (side == staged_rollout::Side::kTarget ? to_target_ : to_base_)->Increment();
   }
   // A server asked something of its callers in an answer, or no longer does.
-  void countBackPressure(std::string_view what);
+  void countBackPressure(std::string_view change);
   // The keeper of a server's rate decided on a request.
   void countRateDecision(bool is_granted);
-  void countServerEnd() { server_ends_->Increment(); }
+  void countServerCrash() { server_crashes_->Increment(); }
   // An end of a server that too many others crowd out is not told to peers.
-  void countUntoldEnd() { ends_untold_->Increment(); }
+  void countUnreportedCrash() { crashes_unreported_->Increment(); }
   // A row that others wrote can't be used.
   void countRefusedRow(std::string_view table);
-  void countPromptTokens(uint64_t kept, uint64_t moved, uint64_t read);
-  void observeFirstPiece(absl::Duration time) { first_piece_->Observe(absl::ToDoubleSeconds(time)); }
+  void countPromptTokens(uint64_t cached, uint64_t fetched, uint64_t prefilled);
+  void observeFirstPiece(absl::Duration time) { first_piece_seconds_->Observe(absl::ToDoubleSeconds(time)); }
   // How far a first piece came from its forecast, by route.
-  void observeForecast(std::string_view route, absl::Duration off);
-  void observeAnswer(absl::Duration time) { answer_->Observe(absl::ToDoubleSeconds(time)); }
-  void observeStoreCall(absl::Duration time) { store_call_->Observe(absl::ToDoubleSeconds(time)); }
+  void observeForecast(std::string_view route, absl::Duration error);
+  void observeResponse(absl::Duration time) { answer_seconds_->Observe(absl::ToDoubleSeconds(time)); }
+  void observeStoreCall(absl::Duration time) { store_call_seconds_->Observe(absl::ToDoubleSeconds(time)); }
 
   // What is as of now, set just before it is told.
-  struct Levels {
+  struct Gauges {
     double configuration_version = 0;
     double configuration_age_seconds = 0;
     double holds_lease = 0;
@@ -73,7 +73,7 @@
     double log_lines_dropped = 0;
   };
   // All figures in Prometheus' text format.
-  std::string print(const Levels& levels);
+  std::string print(const Gauges& gauges);
 
  private:
   prometheus::Registry registry_;
@@ -88,18 +88,18 @@
   prometheus::Family<prometheus::Histogram>& forecast_;
   prometheus::Counter* retries_;
   prometheus::Counter* streams_resumed_;
-  prometheus::Counter* streams_cut_;
+  prometheus::Counter* responses_truncated_;
   prometheus::Counter* datagrams_refused_;
   prometheus::Counter* store_went_back_;
   prometheus::Counter* outdated_decisions_;
-  prometheus::Counter* server_ends_;
-  prometheus::Counter* ends_untold_;
+  prometheus::Counter* server_crashes_;
+  prometheus::Counter* crashes_unreported_;
   prometheus::Counter* to_base_;
   prometheus::Counter* to_target_;
   prometheus::Histogram* configuration_age_;
-  prometheus::Histogram* first_piece_;
-  prometheus::Histogram* answer_;
-  prometheus::Histogram* store_call_;
+  prometheus::Histogram* first_piece_seconds_;
+  prometheus::Histogram* answer_seconds_;
+  prometheus::Histogram* store_call_seconds_;
 };
 
 }  // namespace quincewick::gateway
--- a/src/gateway/gateway_settings.cc
+++ b/src/gateway/gateway_settings.cc
@@ -81,7 +81,7 @@
 
 namespace {
 
-constexpr const char* kMark = "gateway_id:";
+constexpr const char* kGatewayIdKey = "gateway_id:";
 
 }  // namespace
 
@@ -90,7 +90,8 @@
 }
 
 bool looksLikeGatewaySettings(const std::string& text) {
-  return text.rfind(kMark, 0) == 0 || text.find(std::string("\n") + kMark) != std::string::npos;
+  return text.rfind(kGatewayIdKey, 0) == 0 ||
+         text.find(std::string("\n") + kGatewayIdKey) != std::string::npos;
 }
 
 }  // namespace quincewick::gateway
--- a/src/gateway/occupancy_exchange.cc
+++ b/src/gateway/occupancy_exchange.cc
@@ -9,21 +9,22 @@
 
 // How long a keeper's answer is awaited: it takes 2 ms at the median and 15 ms for 99 in 100 on a site of 79
 // gateways, and a request that gets none goes on by what this gateway knows itself.
-constexpr absl::Duration kAnswerTime = absl::Milliseconds(25);
-constexpr absl::Duration kBeatInterval = absl::Milliseconds(250);  // between looks at who the gateways are
+constexpr absl::Duration kResponseTimeout = absl::Milliseconds(25);
+constexpr absl::Duration kHeartbeatInterval =
+    absl::Milliseconds(250);  // between looks at who the gateways are
 constexpr absl::Duration kProbeInterval = absl::Milliseconds(500);
 // Peers are told again of what an engine can do once it changed by a fifth, and twice within the time for
 // which they hold what was told: a digest may be lost.
-constexpr double kWorthTelling = 0.2;
-constexpr absl::Duration kTellAgain = absl::Milliseconds(1500);
-constexpr absl::Duration kTellAtMostEvery = absl::Milliseconds(250);
-constexpr size_t kToldAtMost = 20'000;
+constexpr double kReportThreshold = 0.2;
+constexpr absl::Duration kReportRepeatInterval = absl::Milliseconds(1500);
+constexpr absl::Duration kMinReportInterval = absl::Milliseconds(250);
+constexpr size_t kMaxReportedEngines = 20'000;
 
-bool isWorthTelling(const forwarding::EngineCapability& now, const forwarding::EngineCapability& told) {
+bool hasChangedEnough(const forwarding::EngineCapability& now, const forwarding::EngineCapability& reported) {
   const auto differs = [](absl::Duration one, absl::Duration other) {
-    return absl::AbsDuration(one - other) > kWorthTelling * other;
+    return absl::AbsDuration(one - other) > kReportThreshold * other;
   };
-  return differs(now.read_per_token, told.read_per_token) || differs(now.pause, told.pause);
+  return differs(now.read_per_token, reported.read_per_token) || differs(now.pause, reported.pause);
 }
 
 }  // namespace
@@ -33,173 +34,175 @@
 
 void OccupancyExchange::start() {
   peers_.setTaker(peer::PeerModule::kOccupancy,
-                  [this](const NodeId& from, std::string_view payload) { return take(from, payload); });
-  beat();
+                  [this](const NodeId& from, std::string_view payload) { return receive(from, payload); });
+  heartbeat();
 }
 
-void OccupancyExchange::beat() {
+void OccupancyExchange::heartbeat() {
   ranks_.setMembers(directory_.keeperMembers());
-  core_.timers.schedule(reactor::steadyNow() + kBeatInterval, [this] { beat(); });
+  core_.timers.schedule(reactor::steadyNow() + kHeartbeatInterval, [this] { heartbeat(); });
 }
 
 uint64_t OccupancyExchange::reserve(const forwarding::Server& engine, uint64_t prefill_tokens,
-                                    double most_seconds, Answered answered) {
+                                    double max_load_seconds, ResponseCallback on_response) {
   const uint64_t number = ++last_number_;
-  OccupancyMessage question;
-  question.kind = OccupancyMessageKind::kReserve;
-  question.number = number;
-  question.engine = engine.identity_hash;
-  question.prefill_tokens = prefill_tokens;
-  question.most_seconds = most_seconds;
-  const std::vector<NodeId> keepers = ranks_.candidates(engine.entry.id);
+  OccupancyMessage request;
+  request.kind = OccupancyMessageKind::kReserve;
+  request.number = number;
+  request.engine = engine.identity_hash;
+  request.prefill_tokens = prefill_tokens;
+  request.max_load_seconds = max_load_seconds;
+  const std::vector<NodeId> owners = ranks_.candidates(engine.entry.id);
   const NodeId self = core_.settings.gateway_id;
-  if (keepers.empty() || keepers.front() == self) {
-    answered(answerOf(self, decide(self, question)));
+  if (owners.empty() || owners.front() == self) {
+    on_response(responseOf(self, handleReserve(self, request)));
     return number;
   }
-  probe(ranks_.before(engine.entry.id, keepers.front()), question);
-  questions_[number] = {keepers.front(), reactor::steadyNow() + kAnswerTime, std::move(answered)};
-  send(keepers.front(), question);
-  scheduleTick();
+  probe(ranks_.before(engine.entry.id, owners.front()), request);
+  pending_requests_[number] = {owners.front(), reactor::steadyNow() + kResponseTimeout,
+                               std::move(on_response)};
+  send(owners.front(), request);
+  scheduleExpiry();
   return number;
 }
 
 // Asks those that rank before the keeper and are suspected to be down whether they are back: for a place that
 // no engine has.
-void OccupancyExchange::probe(const std::vector<NodeId>& nodes, OccupancyMessage question) {
-  question.most_seconds = -1;
+void OccupancyExchange::probe(const std::vector<NodeId>& nodes, OccupancyMessage request) {
+  request.max_load_seconds = -1;
   const absl::Time now = reactor::steadyNow();
   for (const NodeId& node : nodes) {
     absl::Time& last = probed_.try_emplace(node, absl::InfinitePast()).first->second;
     if (now - last >= kProbeInterval) {
       last = now;
-      send(node, question);
+      send(node, request);
     }
   }
 }
 
-PlaceAnswer OccupancyExchange::answerOf(const NodeId& keeper, const OccupancyMessage& message) {
-  PlaceAnswer answer;
-  answer.is_held = message.kind == OccupancyMessageKind::kHeld;
-  answer.in_hand = forwarding::ServerLoad{message.running, message.prefill_tokens};
+ReservationResponse OccupancyExchange::responseOf(const NodeId& owner, const OccupancyMessage& message) {
+  ReservationResponse response;
+  response.is_reserved = message.kind == OccupancyMessageKind::kReserved;
+  response.load = forwarding::ServerLoad{message.running, message.prefill_tokens};
   if (const auto capability = capabilityFrom(message.capability)) {
-    answer.capability = capability.value();
+    response.capability = capability.value();
   }
-  answer.place = {message.engine, message.number, keeper};
-  return answer;
+  response.reservation = {message.engine, message.number, owner};
+  return response;
 }
 
 // What other gateways told in turns counts only as long as the books are new.
-OccupancyMessage OccupancyExchange::decide(const NodeId& from, const OccupancyMessage& question) {
+OccupancyMessage OccupancyExchange::handleReserve(const NodeId& from, const OccupancyMessage& request) {
   const absl::Time now = reactor::steadyNow();
-  forwarding::ServerLoad in_hand = books_.at(question.engine, now);
-  const auto server = core_.directory.findByHash(question.engine);
-  if (server != nullptr && !books_.areComplete(question.engine, now)) {
-    in_hand.running = std::max(in_hand.running, server->running());
-    in_hand.prefill_tokens = std::max(in_hand.prefill_tokens, server->prefillTokens());
+  forwarding::ServerLoad load = occupancy_.at(request.engine, now);
+  const auto server = core_.directory.findByHash(request.engine);
+  if (server != nullptr && !occupancy_.areComplete(request.engine, now)) {
+    load.running = std::max(load.running, server->running());
+    load.prefill_tokens = std::max(load.prefill_tokens, server->prefillTokens());
   }
   const uint32_t slots = server == nullptr ? 1 : server->entry.slots;
   if (server != nullptr) {
-    books_.begin(question.engine, server->capability.at(now), now);
+    occupancy_.begin(request.engine, server->capability.at(now), now);
   }
   forwarding::EngineCapability capability;
   if (core_.settings.placement.learned_speed) {
-    capability = books_.capability(question.engine, now);
-    tellCapability(question.engine, capability, now);
+    capability = occupancy_.capability(request.engine, now);
+    reportCapability(request.engine, capability, now);
   }
-  OccupancyMessage answer;
-  answer.number = question.number;
-  answer.engine = question.engine;
-  answer.running = in_hand.running;
-  answer.prefill_tokens = in_hand.prefill_tokens;
-  answer.capability = messageOf(capability);
-  answer.kind = OccupancyMessageKind::kFull;
-  const forwarding::EngineCapability just_now = books_.withOverdue(question.engine, capability, now);
-  if (core_.placement.loadSeconds(in_hand, slots, just_now) <= question.most_seconds) {
-    answer.kind = OccupancyMessageKind::kHeld;
-    const bool waits_for_slot = in_hand.running >= slots;
-    books_.reserve({question.engine, from, question.number}, question.prefill_tokens, waits_for_slot, now);
+  OccupancyMessage response;
+  response.number = request.number;
+  response.engine = request.engine;
+  response.running = load.running;
+  response.prefill_tokens = load.prefill_tokens;
+  response.capability = messageOf(capability);
+  response.kind = OccupancyMessageKind::kFull;
+  const forwarding::EngineCapability just_now = occupancy_.withOverdue(request.engine, capability, now);
+  if (core_.placement.loadSeconds(load, slots, just_now) <= request.max_load_seconds) {
+    response.kind = OccupancyMessageKind::kReserved;
+    const bool waits_for_slot = load.running >= slots;
+    occupancy_.reserve({request.engine, from, request.number}, request.prefill_tokens, waits_for_slot, now);
   }
-  return answer;
+  return response;
 }
 
 // What this gateway learnt of an engine goes to itself at once, and to peers with the next digests.
-void OccupancyExchange::tellCapability(uint64_t engine, const forwarding::EngineCapability& capability,
-                                       absl::Time now) {
+void OccupancyExchange::reportCapability(uint64_t engine, const forwarding::EngineCapability& capability,
+                                         absl::Time now) {
   if (const auto server = core_.directory.findByHash(engine)) {
     server->capability = {capability, now};
   }
-  if (told_.size() >= kToldAtMost) {
-    told_.clear();
+  if (reported_.size() >= kMaxReportedEngines) {
+    reported_.clear();
   }
-  forwarding::ToldCapability& told = told_[engine];
-  const absl::Duration since = now - told.told;
-  const bool is_due =
-      since >= kTellAgain || (since >= kTellAtMostEvery && isWorthTelling(capability, told.capability));
+  forwarding::ToldCapability& reported = reported_[engine];
+  const absl::Duration since = now - reported.told;
+  const bool is_due = since >= kReportRepeatInterval ||
+                      (since >= kMinReportInterval && hasChangedEnough(capability, reported.capability));
   if (is_due) {
-    told = {capability, now};
-    core_.new_capabilities.push_back({engine, capability});
+    reported = {capability, now};
+    core_.unreported_capabilities.push_back({engine, capability});
   }
 }
 
-Result<void> OccupancyExchange::take(const NodeId& from, std::string_view payload) {
+Result<void> OccupancyExchange::receive(const NodeId& from, std::string_view payload) {
   BOOST_OUTCOME_TRY(message, decodeOccupancyMessage(payload));
   ranks_.noteHeard(from);
-  carryOut(from, message);
+  handleMessage(from, message);
   return outcome::success();
 }
 
-void OccupancyExchange::carryOut(const NodeId& from, const OccupancyMessage& message) {
+void OccupancyExchange::handleMessage(const NodeId& from, const OccupancyMessage& message) {
   switch (message.kind) {
     case OccupancyMessageKind::kReserve:
-      send(from, decide(from, message));
+      send(from, handleReserve(from, message));
       return;
-    case OccupancyMessageKind::kRead:
-      books_.noteRead({message.engine, from, message.number}, reactor::steadyNow());
+    case OccupancyMessageKind::kPromptRead:
+      occupancy_.noteRead({message.engine, from, message.number}, reactor::steadyNow());
       return;
     case OccupancyMessageKind::kRelease:
-      books_.release({message.engine, from, message.number}, absl::Milliseconds(message.pause_ms),
-                     reactor::steadyNow());
+      occupancy_.release({message.engine, from, message.number}, absl::Milliseconds(message.pause_ms),
+                         reactor::steadyNow());
       return;
-    case OccupancyMessageKind::kHeld:
+    case OccupancyMessageKind::kReserved:
     case OccupancyMessageKind::kFull:
-      takeAnswer(from, message);
+      handleResponse(from, message);
       return;
   }
 }
 
-void OccupancyExchange::takeAnswer(const NodeId& from, const OccupancyMessage& answer) {
-  const PlaceAnswer place_answer = answerOf(from, answer);
-  const auto found = questions_.find(answer.number);
-  if (found == questions_.end() || found->second.keeper != from) {
-    if (place_answer.is_held) {
-      release(place_answer.place);  // it came too late
+void OccupancyExchange::handleResponse(const NodeId& from, const OccupancyMessage& response) {
+  const ReservationResponse reservation_response = responseOf(from, response);
+  const auto found = pending_requests_.find(response.number);
+  if (found == pending_requests_.end() || found->second.owner != from) {
+    if (reservation_response.is_reserved) {
+      release(reservation_response.reservation);  // it came too late
     }
     return;
   }
-  const Answered answered = std::move(found->second.answered);
-  questions_.erase(found);
-  answered(place_answer);
+  const ResponseCallback on_response = std::move(found->second.on_response);
+  pending_requests_.erase(found);
+  on_response(reservation_response);
 }
 
-void OccupancyExchange::noteRead(const Place& place) {
-  tell(place, OccupancyMessageKind::kRead, absl::ZeroDuration());
+void OccupancyExchange::noteRead(const Reservation& reservation) {
+  sendUpdate(reservation, OccupancyMessageKind::kPromptRead, absl::ZeroDuration());
 }
 
-void OccupancyExchange::release(const Place& place, absl::Duration longest_pause) {
-  tell(place, OccupancyMessageKind::kRelease, longest_pause);
+void OccupancyExchange::release(const Reservation& reservation, absl::Duration longest_pause) {
+  sendUpdate(reservation, OccupancyMessageKind::kRelease, longest_pause);
 }
 
-void OccupancyExchange::tell(const Place& place, OccupancyMessageKind kind, absl::Duration longest_pause) {
+void OccupancyExchange::sendUpdate(const Reservation& reservation, OccupancyMessageKind kind,
+                                   absl::Duration longest_pause) {
   OccupancyMessage message;
   message.kind = kind;
-  message.number = place.number;
-  message.engine = place.engine;
+  message.number = reservation.number;
+  message.engine = reservation.engine;
   message.pause_ms = static_cast<uint32_t>(absl::ToInt64Milliseconds(longest_pause));
-  if (place.keeper == core_.settings.gateway_id) {
-    carryOut(place.keeper, message);
+  if (reservation.owner == core_.settings.gateway_id) {
+    handleMessage(reservation.owner, message);
   } else {
-    send(place.keeper, message);
+    send(reservation.owner, message);
   }
 }
 
@@ -207,28 +210,28 @@
   peers_.sendTo(to, peer::PeerModule::kOccupancy, encodeOccupancyMessage(message));
 }
 
-void OccupancyExchange::scheduleTick() {
-  if (has_timer_ || questions_.empty()) {
+void OccupancyExchange::scheduleExpiry() {
+  if (has_timer_ || pending_requests_.empty()) {
     return;
   }
   has_timer_ = true;
-  core_.timers.schedule(questions_.begin()->second.give_up, [this] {
+  core_.timers.schedule(pending_requests_.begin()->second.deadline, [this] {
     has_timer_ = false;
-    tick();
+    expirePending();
   });
 }
 
-void OccupancyExchange::tick() {
+void OccupancyExchange::expirePending() {
   const absl::Time now = reactor::steadyNow();
-  std::vector<Answered> unanswered;
-  while (!questions_.empty() && questions_.begin()->second.give_up <= now) {
-    ranks_.noteSilence(questions_.begin()->second.keeper);
-    unanswered.push_back(std::move(questions_.begin()->second.answered));
-    questions_.erase(questions_.begin());
-  }
-  scheduleTick();
-  for (const Answered& answered : unanswered) {
-    answered({});
+  std::vector<ResponseCallback> timed_out;
+  while (!pending_requests_.empty() && pending_requests_.begin()->second.deadline <= now) {
+    ranks_.noteSilence(pending_requests_.begin()->second.owner);
+    timed_out.push_back(std::move(pending_requests_.begin()->second.on_response));
+    pending_requests_.erase(pending_requests_.begin());
+  }
+  scheduleExpiry();
+  for (const ResponseCallback& on_response : timed_out) {
+    on_response({});
   }
 }
 
--- a/src/gateway/occupancy_exchange.h
+++ b/src/gateway/occupancy_exchange.h
@@ -20,17 +20,17 @@
 namespace quincewick::gateway {
 
 // A request's entry in the books of an engine.
-struct Place {
+struct Reservation {
   uint64_t engine = 0;
   uint64_t number = 0;
-  NodeId keeper;
+  NodeId owner;
 };
 
-struct PlaceAnswer {
-  bool is_held = false;
-  std::optional<forwarding::ServerLoad> in_hand;  // before this request; nothing: the keeper did not answer
-  forwarding::EngineCapability capability;        // of the engine, where the keeper answered
-  Place place;                                    // where it is held
+struct ReservationResponse {
+  bool is_reserved = false;
+  std::optional<forwarding::ServerLoad> load;  // before this request; nothing: the keeper did not answer
+  forwarding::EngineCapability capability;     // of the engine, where the keeper answered
+  Reservation reservation;                     // where it is held
 };
 
 class OccupancyExchange {
@@ -39,45 +39,46 @@
 
   void start();
 
-  // Asks for a place at an engine that has at most `most_seconds` of work in hand. Calls `answered` once,
-  // perhaps before this returns. Returns the number by which to `forget` it.
-  using Answered = std::function<void(const PlaceAnswer& answer)>;
-  uint64_t reserve(const forwarding::Server& engine, uint64_t prefill_tokens, double most_seconds,
-                   Answered answered);
+  // Asks for a place at an engine that has at most `max_load_seconds` of work in hand. Calls `on_response`
+  // once, perhaps before this returns. Returns the number by which to `forget` it.
+  using ResponseCallback = std::function<void(const ReservationResponse& response)>;
+  uint64_t reserve(const forwarding::Server& engine, uint64_t prefill_tokens, double max_load_seconds,
+                   ResponseCallback on_response);
   // Nobody waits for the answer any more: a place that is held all the same is given back.
-  void forget(uint64_t number) { questions_.erase(number); }
-  void noteRead(const Place& place);
+  void cancel(uint64_t number) { pending_requests_.erase(number); }
+  void noteRead(const Reservation& reservation);
   // `longest_pause`: between the request's pieces; zero where it had none.
-  void release(const Place& place, absl::Duration longest_pause = absl::ZeroDuration());
+  void release(const Reservation& reservation, absl::Duration longest_pause = absl::ZeroDuration());
 
  private:
-  struct Question {
-    NodeId keeper;
-    absl::Time give_up;
-    Answered answered;
+  struct PendingRequest {
+    NodeId owner;
+    absl::Time deadline;
+    ResponseCallback on_response;
   };
 
-  void probe(const std::vector<NodeId>& nodes, OccupancyMessage question);
-  static PlaceAnswer answerOf(const NodeId& keeper, const OccupancyMessage& message);
-  OccupancyMessage decide(const NodeId& from, const OccupancyMessage& question);
-  Result<void> take(const NodeId& from, std::string_view payload);
-  void takeAnswer(const NodeId& from, const OccupancyMessage& answer);
-  void tell(const Place& place, OccupancyMessageKind kind, absl::Duration longest_pause);
-  void tellCapability(uint64_t engine, const forwarding::EngineCapability& capability, absl::Time now);
-  void carryOut(const NodeId& from, const OccupancyMessage& message);
+  void probe(const std::vector<NodeId>& nodes, OccupancyMessage request);
+  static ReservationResponse responseOf(const NodeId& owner, const OccupancyMessage& message);
+  OccupancyMessage handleReserve(const NodeId& from, const OccupancyMessage& request);
+  Result<void> receive(const NodeId& from, std::string_view payload);
+  void handleResponse(const NodeId& from, const OccupancyMessage& response);
+  void sendUpdate(const Reservation& reservation, OccupancyMessageKind kind, absl::Duration longest_pause);
+  void reportCapability(uint64_t engine, const forwarding::EngineCapability& capability, absl::Time now);
+  void handleMessage(const NodeId& from, const OccupancyMessage& message);
   void send(const NodeId& to, const OccupancyMessage& message);
-  void beat();
-  void scheduleTick();
-  void tick();
+  void heartbeat();
+  void scheduleExpiry();
+  void expirePending();
 
   Core& core_;
   PeerDirectory& directory_;
   PeerExchange& peers_;
   routing::KeeperRanks ranks_;
-  forwarding::OccupancyBooks books_;
-  absl::btree_map<uint64_t, Question> questions_;  // by rising numbers, so by rising times to give up
+  forwarding::OccupancyBooks occupancy_;
+  absl::btree_map<uint64_t, PendingRequest>
+      pending_requests_;  // by rising numbers, so by rising times to give up
   absl::btree_map<NodeId, absl::Time> probed_;
-  absl::flat_hash_map<uint64_t, forwarding::ToldCapability> told_;  // to peers, by engine
+  absl::flat_hash_map<uint64_t, forwarding::ToldCapability> reported_;  // to peers, by engine
   uint64_t last_number_ = 0;
   bool has_timer_ = false;
 };
--- a/src/gateway/occupancy_messages.cc
+++ b/src/gateway/occupancy_messages.cc
@@ -8,7 +8,7 @@
 namespace {
 
 // A request or an engine has no more; beyond it sums might run over.
-constexpr uint64_t kMostTokens = 1'000'000'000;
+constexpr uint64_t kMaxTokens = 1'000'000'000;
 
 }  // namespace
 
@@ -24,12 +24,12 @@
   const OccupancyMessage& message = decoded.value();
   const bool is_known =
       message.kind >= OccupancyMessageKind::kReserve && message.kind <= OccupancyMessageKind::kRelease;
-  if (!is_known || std::isnan(message.most_seconds) || message.prefill_tokens > kMostTokens) {
+  if (!is_known || std::isnan(message.max_load_seconds) || message.prefill_tokens > kMaxTokens) {
     return fail(ErrorCode::kInvalidArgument, "a message about an engine's places of no known kind or size");
   }
-  const bool is_answer =
-      message.kind == OccupancyMessageKind::kHeld || message.kind == OccupancyMessageKind::kFull;
-  if (is_answer) {
+  const bool is_response =
+      message.kind == OccupancyMessageKind::kReserved || message.kind == OccupancyMessageKind::kFull;
+  if (is_response) {
     BOOST_OUTCOME_TRY(capabilityFrom(message.capability));
   }
   return decoded;
--- a/src/gateway/occupancy_messages.h
+++ b/src/gateway/occupancy_messages.h
@@ -11,11 +11,11 @@
 namespace quincewick::gateway {
 
 enum class OccupancyMessageKind : uint8_t {
-  kReserve = 1,  // a place, if no more work than `most_seconds` is in hand there
-  kHeld = 2,     // it is reserved
-  kFull = 3,     // it isn't
-  kRead = 4,     // the prompt was read
-  kRelease = 5,  // the request ended
+  kReserve = 1,     // a place, if no more work than `max_load_seconds` is in hand there
+  kReserved = 2,    // it is reserved
+  kFull = 3,        // it isn't
+  kPromptRead = 4,  // the prompt was read
+  kRelease = 5,     // the request ended
 };
 
 struct OccupancyMessage {
@@ -24,13 +24,13 @@
   uint64_t engine = 0;          // its identity hash
   uint32_t running = 0;         // in an answer: what was in hand before
   uint64_t prefill_tokens = 0;  // in a question: of the request; in an answer: what was in hand before
-  double most_seconds = 0;
+  double max_load_seconds = 0;
   CapabilityMessage capability;  // in an answer: what the engine can do
   uint32_t pause_ms = 0;         // of a release: the request's longest pause between pieces; 0: it had none
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(kind, number, engine, running, prefill_tokens, most_seconds, capability, pause_ms);
+    archive(kind, number, engine, running, prefill_tokens, max_load_seconds, capability, pause_ms);
   }
 };
 
--- a/src/gateway/order_giver.cc
+++ b/src/gateway/order_giver.cc
@@ -213,7 +213,7 @@
       .with("later", is_later ? "true" : "false");
   if (is_later) {
     core_.directory.noteRestart(*load.server, report.started, report.models);
-    core_.forgetFreedSlots();
+    core_.clearFreedSlots();
   }
   return false;
 }
--- a/src/gateway/peer_exchange.cc
+++ b/src/gateway/peer_exchange.cc
@@ -140,26 +140,26 @@
 }
 
 void PeerExchange::takePlacements() {
-  for (Core::NewPlacement& placement : core_.new_placements) {
+  for (Core::UnreportedPlacement& placement : core_.unreported_placements) {
     addPlacement({placement.server, std::move(placement.keys)}, Origin::kOwn);
   }
-  core_.new_placements.clear();
+  core_.unreported_placements.clear();
 }
 
 // One gateway's misdirected request is enough: the others hear of the engine's version before they send
 // theirs.
 void PeerExchange::takeVersions() {
-  for (const Core::NewVersion& news : core_.new_versions) {
+  for (const Core::UnreportedVersion& news : core_.unreported_versions) {
     announce({news.server, hashOf(news.model.value()), news.version.value(), 0});
   }
-  core_.new_versions.clear();
+  core_.unreported_versions.clear();
 }
 
 void PeerExchange::takeCapabilities() {
-  for (const Core::NewCapability& news : core_.new_capabilities) {
+  for (const Core::UnreportedCapability& news : core_.unreported_capabilities) {
     addCapability({news.server, messageOf(news.capability)}, Origin::kOwn);
   }
-  core_.new_capabilities.clear();
+  core_.unreported_capabilities.clear();
 }
 
 void PeerExchange::addCapability(const CapabilityDigest& capability, Origin origin) {
@@ -288,7 +288,7 @@
   digest.has_news = true;
   digest.load = std::move(load);
   if (was_reading_ && directory_.isOwnZone(peer)) {
-    digest.dead_stores.assign(core_.dead_cache_stores.begin(), core_.dead_cache_stores.end());
+    digest.dead_stores.assign(core_.unreachable_cache_stores.begin(), core_.unreachable_cache_stores.end());
     digest.dead_stores.resize(std::min(digest.dead_stores.size(), kStoresAtMost));
   }
   const size_t load_bytes = digest.load ? kLoadBytes * digest.load->loads.size() : 0;
--- a/src/gateway/peer_exchange_receive.cc
+++ b/src/gateway/peer_exchange_receive.cc
@@ -82,7 +82,7 @@
   takeZones(peer, digest.zones, now);
   const bool watches_for_us = digest.reads_well && !was_reading_ && directory_.isOwnZone(peer);
   if (digest.has_news && watches_for_us) {
-    core_.dead_cache_stores = {digest.dead_stores.begin(), digest.dead_stores.end()};
+    core_.unreachable_cache_stores = {digest.dead_stores.begin(), digest.dead_stores.end()};
   }
   // Another reader of the own zone passes on by itself what it hears.
   const bool is_passed_on = was_reading_ && far_peers_ > 0 && !(isNear(peer) && peer.reads_well);
--- a/src/gateway/quota_exchange.cc
+++ b/src/gateway/quota_exchange.cc
@@ -7,7 +7,7 @@
 namespace {
 
 // How soon a gateway that came counts among the keepers, and how soon this one notices that it hears none.
-constexpr absl::Duration kBeatInterval = absl::Milliseconds(250);
+constexpr absl::Duration kHeartbeatInterval = absl::Milliseconds(250);
 
 }  // namespace
 
@@ -22,45 +22,45 @@
 
 void QuotaExchange::start() {
   peers_.setTaker(module_,
-                  [this](const NodeId& from, std::string_view payload) { return take(from, payload); });
-  beat();
+                  [this](const NodeId& from, std::string_view payload) { return receive(from, payload); });
+  heartbeat();
 }
 
-void QuotaExchange::beat() {
+void QuotaExchange::heartbeat() {
   const absl::Time now = reactor::steadyNow();
   quotas_.setMembers(directory_.keeperMembers());
   quotas_.noteBeat(!directory_.peers().empty() && peers_.hearsNobody(now), now);
-  core_.timers.schedule(now + kBeatInterval, [this] { beat(); });
+  core_.timers.schedule(now + kHeartbeatInterval, [this] { heartbeat(); });
 }
 
-uint64_t QuotaExchange::ask(const quota::LimitName& name, double cost, Decided decided) {
+uint64_t QuotaExchange::acquire(const quota::LimitName& name, double cost, DecisionCallback on_decision) {
   quota::QuotaActions actions;
   const uint64_t number = quotas_.ask(name, cost, reactor::steadyNow(), actions);
-  waiting_[number] = std::move(decided);
-  carryOut(actions);
+  waiting_[number] = std::move(on_decision);
+  execute(actions);
   return number;
 }
 
-void QuotaExchange::forget(uint64_t number) {
+void QuotaExchange::cancel(uint64_t number) {
   quotas_.forget(number);
   waiting_.erase(number);
 }
 
-void QuotaExchange::giveBack(const quota::LimitName& name, double cost, const NodeId& keeper) {
+void QuotaExchange::refund(const quota::LimitName& name, double cost, const NodeId& owner) {
   quota::QuotaActions actions;
-  quotas_.giveBack(name, cost, keeper, actions);
-  carryOut(actions);
+  quotas_.giveBack(name, cost, owner, actions);
+  execute(actions);
 }
 
-Result<void> QuotaExchange::take(const NodeId& from, std::string_view payload) {
+Result<void> QuotaExchange::receive(const NodeId& from, std::string_view payload) {
   BOOST_OUTCOME_TRY(message, quota::decodeQuotaMessage(payload));
   quota::QuotaActions actions;
   quotas_.onMessage(from, message, reactor::steadyNow(), actions);
-  carryOut(actions);
+  execute(actions);
   return outcome::success();
 }
 
-void QuotaExchange::carryOut(const quota::QuotaActions& actions) {
+void QuotaExchange::execute(const quota::QuotaActions& actions) {
   for (const quota::QuotaActions::Outgoing& outgoing : actions.messages) {
     peers_.sendTo(outgoing.to, module_, encodeQuotaMessage(outgoing.message));
   }
@@ -70,9 +70,9 @@
     if (waiting == waiting_.end()) {
       continue;
     }
-    const Decided decided = std::move(waiting->second);
+    const DecisionCallback on_decision = std::move(waiting->second);
     waiting_.erase(waiting);
-    decided(decision);
+    on_decision(decision);
   }
 }
 
@@ -87,7 +87,7 @@
     timer_at_ = absl::InfiniteFuture();
     quota::QuotaActions actions;
     quotas_.onTick(reactor::steadyNow(), actions);
-    carryOut(actions);
+    execute(actions);
   });
 }
 
--- a/src/gateway/quota_exchange.h
+++ b/src/gateway/quota_exchange.h
@@ -24,18 +24,18 @@
 
   void start();
 
-  // Calls `decided` once, perhaps before this returns. Returns the number by which to `forget` it.
-  using Decided = std::function<void(const quota::QuotaDecision& decision)>;
-  uint64_t ask(const quota::LimitName& name, double cost, Decided decided);
-  void forget(uint64_t number);
+  // Calls `on_decision` once, perhaps before this returns. Returns the number by which to `forget` it.
+  using DecisionCallback = std::function<void(const quota::QuotaDecision& decision)>;
+  uint64_t acquire(const quota::LimitName& name, double cost, DecisionCallback on_decision);
+  void cancel(uint64_t number);
   // A request that was granted never ran.
-  void giveBack(const quota::LimitName& name, double cost, const NodeId& keeper);
+  void refund(const quota::LimitName& name, double cost, const NodeId& owner);
   void setTolerance(const quota::LimitTolerance& tolerance) { quotas_.setTolerance(tolerance); }
 
  private:
-  Result<void> take(const NodeId& from, std::string_view payload);
-  void carryOut(const quota::QuotaActions& actions);
-  void beat();
+  Result<void> receive(const NodeId& from, std::string_view payload);
+  void execute(const quota::QuotaActions& actions);
+  void heartbeat();
   void scheduleTick();
 
   Core& core_;
@@ -43,7 +43,7 @@
   PeerExchange& peers_;
   peer::PeerModule module_;
   quota::SharedQuotas quotas_;
-  absl::flat_hash_map<uint64_t, Decided> waiting_;
+  absl::flat_hash_map<uint64_t, DecisionCallback> waiting_;
   reactor::TimerQueue::Key timer_;
   absl::Time timer_at_ = absl::InfiniteFuture();
 };
--- a/src/gateway/answer_sink.h
+++ b/src/gateway/response_sink.h
@@ -10,12 +10,12 @@
 
 namespace quincewick::gateway {
 
-class AnswerSink {
+class ResponseSink {
  public:
-  AnswerSink() = default;
-  AnswerSink(const AnswerSink&) = delete;
-  AnswerSink& operator=(const AnswerSink&) = delete;
-  virtual ~AnswerSink() = default;
+  ResponseSink() = default;
+  ResponseSink(const ResponseSink&) = delete;
+  ResponseSink& operator=(const ResponseSink&) = delete;
+  virtual ~ResponseSink() = default;
 
   // `length`: of the body, where it is known; otherwise the body goes in chunks.
   virtual void sendHead(int status, const std::string& reason, HeaderFields fields,
@@ -24,7 +24,7 @@
   // The answer is whole.
   virtual void finish() = 0;
   // The answer can't be finished: the caller sees that it is cut.
-  virtual void cut() = 0;
+  virtual void truncate() = 0;
   // Bytes that the caller has not taken yet.
   virtual size_t unsentBytes() const = 0;
 };
--- a/src/gateway/server_list.cc
+++ b/src/gateway/server_list.cc
@@ -32,7 +32,7 @@
     for (const std::string& id : core_.directory.missingFrom(ids)) {
       noteMissing(id, now);
     }
-    core_.knows_servers = true;
+    core_.has_server_list = true;
   }
   removeGone(now);
 }
@@ -104,7 +104,7 @@
   for (const std::string& id : lapsed_.takeGone(now)) {
     remove(id, now);
   }
-  core_.forgetFreedSlots();
+  core_.clearFreedSlots();
 }
 
 void ServerList::remove(const std::string& server_id, absl::Time now) {
--- a/src/gateway/server_rates.cc
+++ b/src/gateway/server_rates.cc
@@ -11,7 +11,7 @@
 // each question, as the time in which the server takes one: so a keeper needs to know no server's rate, and
 // one that changes holds from the next question on.
 constexpr quota::LimitTolerance kTolerance = {absl::Seconds(4), 0.5, 0};
-const quota::RateLimit kSecondsASecond = {quota::LimitUnit::kRequests, 1, 0, 1};
+const quota::RateLimit kServerTimeLimit = {quota::LimitUnit::kRequests, 1, 0, 1};
 
 }  // namespace
 
@@ -19,19 +19,20 @@
     : core_(core),
       exchange_(
           core, directory, peers, peer::PeerModule::kServerRates, kTolerance,
-          [](const quota::LimitName&) { return &kSecondsASecond; }, quota::Unanswered::kDenies) {}
+          [](const quota::LimitName&) { return &kServerTimeLimit; }, quota::Unanswered::kDenies) {}
 
-uint64_t ServerRates::ask(const forwarding::Server& server, Answered answered) {
+uint64_t ServerRates::acquire(const forwarding::Server& server, DecisionCallback on_decision) {
   RateGrant grant;
   grant.name = quota::LimitName(absl::StrCat(absl::Hex(server.identity_hash)));
   grant.cost = absl::ToDoubleSeconds(server.back_pressure->timePerRequest());
-  return exchange_.ask(grant.name, grant.cost,
-                       [this, grant, answered = std::move(answered)](const quota::QuotaDecision& decision) {
-                         core_.metrics.countRateDecision(decision.verdict.is_granted);
-                         RateAnswer answer{decision.verdict.is_granted, decision.verdict.retry_after, grant};
-                         answer.grant.keeper = decision.keeper;
-                         answered(answer);
-                       });
+  return exchange_.acquire(
+      grant.name, grant.cost,
+      [this, grant, on_decision = std::move(on_decision)](const quota::QuotaDecision& decision) {
+        core_.metrics.countRateDecision(decision.verdict.is_granted);
+        RateDecision decided{decision.verdict.is_granted, decision.verdict.retry_after, grant};
+        decided.grant.owner = decision.keeper;
+        on_decision(decided);
+      });
 }
 
 }  // namespace quincewick::gateway
--- a/src/gateway/server_rates.h
+++ b/src/gateway/server_rates.h
@@ -12,10 +12,10 @@
 struct RateGrant {
   quota::LimitName name;
   double cost = 0;
-  NodeId keeper;
+  NodeId owner;
 };
 
-struct RateAnswer {
+struct RateDecision {
   bool is_granted = false;
   absl::Duration retry_after;  // where it was denied
   RateGrant grant;
@@ -27,13 +27,13 @@
 
   void start() { exchange_.start(); }
 
-  // May a request be sent to this server now? Calls `answered` once, perhaps before this returns. Returns the
-  // number by which to `forget` it.
-  using Answered = std::function<void(const RateAnswer& answer)>;
-  uint64_t ask(const forwarding::Server& server, Answered answered);
-  void forget(uint64_t number) { exchange_.forget(number); }
+  // May a request be sent to this server now? Calls `on_decision` once, perhaps before this returns. Returns
+  // the number by which to `forget` it.
+  using DecisionCallback = std::function<void(const RateDecision& decision)>;
+  uint64_t acquire(const forwarding::Server& server, DecisionCallback on_decision);
+  void cancel(uint64_t number) { exchange_.cancel(number); }
   // The request was not sent there after all.
-  void giveBack(const RateGrant& grant) { exchange_.giveBack(grant.name, grant.cost, grant.keeper); }
+  void refund(const RateGrant& grant) { exchange_.refund(grant.name, grant.cost, grant.owner); }
 
  private:
   Core& core_;
--- a/src/gateway/store_client.cc
+++ b/src/gateway/store_client.cc
@@ -43,7 +43,7 @@
                        read.has_value() && noteSign(reply.value().head, read.value().version, began);
                    if (counts) {
                      rows = std::move(read.value());
-                     core_.store_clock_ahead = rows.clock - (reactor::steadyNow() - absl::UnixEpoch());
+                     core_.store_clock_offset = rows.clock - (reactor::steadyNow() - absl::UnixEpoch());
                    } else {
                      status = StoreStatus::kUnknown;
                    }
--- a/tests/gateway/crash_message_test.cc
+++ b/tests/gateway/crash_message_test.cc
@@ -16,28 +16,28 @@
 CrashMessage fullMessage() {
   CrashMessage message;
   forwarding::ServerEnd end{11, 12, {}, absl::Seconds(1)};
-  for (uint64_t number = 0; number < kCrashMessageRoom - 2; ++number) {
+  for (uint64_t number = 0; number < kCrashMessageCapacity - 2; ++number) {
     end.there.push_back(request(number));
   }
-  message.ends.push_back(end);
+  message.crashes.push_back(end);
   return message;
 }
 
 TEST_CASE("a message about ends of servers reads back as it was written, and no part of it passes for one") {
   CrashMessage message;
-  message.ends.push_back({1, 2, {request(3), request(4)}, absl::Milliseconds(250)});
-  message.sound.push_back(request(5));
-  message.blamed.push_back({request(6), true});
+  message.crashes.push_back({1, 2, {request(3), request(4)}, absl::Milliseconds(250)});
+  message.cleared.push_back(request(5));
+  message.quarantined.push_back({request(6), true});
   const std::string bytes = encodeCrashMessage(message);
   const auto read = decodeCrashMessage(bytes);
   REQUIRE(read.has_value());
-  REQUIRE(read.value().ends.size() == 1);
-  CHECK(read.value().ends[0].life == 1);
-  CHECK(read.value().ends[0].service == 2);
-  CHECK(read.value().ends[0].there == message.ends[0].there);
-  CHECK(read.value().ends[0].ago == message.ends[0].ago);
-  CHECK(read.value().sound == message.sound);
-  CHECK(read.value().blamed == message.blamed);
+  REQUIRE(read.value().crashes.size() == 1);
+  CHECK(read.value().crashes[0].life == 1);
+  CHECK(read.value().crashes[0].service == 2);
+  CHECK(read.value().crashes[0].there == message.crashes[0].there);
+  CHECK(read.value().crashes[0].ago == message.crashes[0].ago);
+  CHECK(read.value().cleared == message.cleared);
+  CHECK(read.value().quarantined == message.quarantined);
   for (size_t size = 0; size < bytes.size(); ++size) {
     CHECK(decodeCrashMessage(bytes.substr(0, size)).has_error());
   }
@@ -46,11 +46,11 @@
 
 TEST_CASE("a full message about ends of servers fits into a datagram") {
   CHECK(encodeCrashMessage(fullMessage()).size() <= peer::kMaximumDatagramPayload);
-  CrashMessage blamed;
-  for (uint64_t number = 0; number < kCrashMessageRoom; ++number) {
-    blamed.blamed.push_back({request(number), true});
+  CrashMessage quarantined;
+  for (uint64_t number = 0; number < kCrashMessageCapacity; ++number) {
+    quarantined.quarantined.push_back({request(number), true});
   }
-  CHECK(encodeCrashMessage(blamed).size() <= peer::kMaximumDatagramPayload);
+  CHECK(encodeCrashMessage(quarantined).size() <= peer::kMaximumDatagramPayload);
 }
 
 TEST_CASE("a message about ends of servers of another version is refused") {
@@ -65,7 +65,7 @@
 TEST_CASE("any bytes are refused as ends of servers or read, and nothing else") {
   CHECK(rc::check([](const std::string& bytes) {
     const auto read = decodeCrashMessage(bytes);
-    const bool is_bounded = read.has_error() || read.value().ends.size() <= 64;
+    const bool is_bounded = read.has_error() || read.value().crashes.size() <= 64;
     RC_ASSERT(is_bounded);
   }));
 }
--- a/tests/gateway/crashing_requests_test.cc
+++ b/tests/gateway/crashing_requests_test.cc
@@ -15,8 +15,8 @@
 namespace {
 
 // Within it, all gateways in touch know of the third server that a request ended.
-constexpr std::chrono::seconds kContact(3);
-constexpr size_t kServersToBlame = 3;
+constexpr std::chrono::seconds kReportTime(3);
+constexpr size_t kServersToQuarantine = 3;
 constexpr size_t kFurtherSends = 3;
 constexpr const char* kDeadly = "deadly";
 
@@ -62,10 +62,10 @@
   awaitPeer(first);
   awaitPeer(second);
   int attempt = 0;
-  while (deadlySends() < kServersToBlame) {
+  while (deadlySends() < kServersToQuarantine) {
     askDeadly(first, "/safe/a", ++attempt);
   }
-  std::this_thread::sleep_for(kContact);
+  std::this_thread::sleep_for(kReportTime);
   const size_t before = deadlySends();
   for (int arrival = 0; arrival < 5; ++arrival) {
     askDeadly(first, "/safe/a", ++attempt);
@@ -76,12 +76,12 @@
   CHECK(second.ask("/safe/a", kKey, "sound").ends_with("served"));
 }
 
-void awaitBlamed(const RunningGateway& gateway) {
+void awaitQuarantined(const RunningGateway& gateway) {
   await([&gateway] { return has(gateway.metrics(), "quincewick_requests_blamed 1"); });
 }
 
 // Ends servers until the gateway blames the request.
-void blame(const RunningGateway& gateway) {
+void quarantine(const RunningGateway& gateway) {
   int attempt = 0;
   while (!has(gateway.metrics(), "quincewick_requests_blamed 1")) {
     askDeadly(gateway, "/safe/a", ++attempt);
@@ -90,7 +90,7 @@
 
 TEST_CASE_METHOD(CrashingSite, "a request that is to blame is rejected at once and not told to come back") {
   const RunningGateway gateway(RunningGateway::settings("a", site.storeAddress(), site));
-  blame(gateway);
+  quarantine(gateway);
   const size_t before = deadlySends();
   await([&gateway] { return has(askDeadly(gateway, "/safe/a", 1), "ends_servers"); });
   const std::string answer = askDeadly(gateway, "/once/a", 2);
@@ -105,7 +105,7 @@
 
 TEST_CASE_METHOD(CrashingSite, "a request that is to blame is tried once more, and once only") {
   const RunningGateway gateway(RunningGateway::settings("a", site.storeAddress(), site));
-  blame(gateway);
+  quarantine(gateway);
   await([&gateway] { return has(askDeadly(gateway, "/safe/a", 1), "ends_servers"); });
   const size_t before = deadlySends();
   await([&] {
@@ -120,7 +120,7 @@
 
 TEST_CASE_METHOD(CrashingSite, "a request that was blamed and is sound is served again after its trial") {
   const RunningGateway gateway(RunningGateway::settings("a", site.storeAddress(), site));
-  blame(gateway);
+  quarantine(gateway);
   *is_deadly = false;
   await([&gateway] { return askDeadly(gateway, "/safe/a", 1).ends_with("served"); });
   CHECK(askDeadly(gateway, "/safe/a", 1).ends_with("served"));
@@ -129,9 +129,9 @@
 
 TEST_CASE_METHOD(CrashingSite, "a gateway that starts later hears which requests are to blame") {
   const RunningGateway first(RunningGateway::settings("a", site.storeAddress(), site));
-  blame(first);
+  quarantine(first);
   const RunningGateway second(RunningGateway::settings("b", site.storeAddress(), site));
-  awaitBlamed(second);
+  awaitQuarantined(second);
   const size_t before = deadlySends();
   await([&second] { return has(askDeadly(second, "/safe/a", 1), "ends_servers"); });
   CHECK(deadlySends() == before);
@@ -139,13 +139,13 @@
 
 TEST_CASE_METHOD(CrashingSite, "a site whose gateways all ended still knows which requests are to blame") {
   auto first = std::make_unique<RunningGateway>(RunningGateway::settings("a", site.storeAddress(), site));
-  blame(*first);
+  quarantine(*first);
   await([this] { return site.hasRows("gateway-crashes"); });
   first.reset();
   GatewaySettings settings = RunningGateway::settings("a", site.storeAddress(), site);
   settings.site_is_new = false;
   const RunningGateway again(settings);
-  awaitBlamed(again);
+  awaitQuarantined(again);
   const size_t before = deadlySends();
   await([&again] { return has(askDeadly(again, "/safe/a", 1), "ends_servers"); });
   CHECK(deadlySends() == before);
--- a/tests/gateway/gateway_test.cc
+++ b/tests/gateway/gateway_test.cc
@@ -226,7 +226,7 @@
 TEST_CASE_METHOD(Fixture, "a gateway that stops is not ready, serves on, and closes after each answer") {
   site.addServer("i-1", [](const Seen& /*seen*/) { return Script{signedAnswer("served")}; });
   RunningGateway gateway(site);
-  gateway.stopInGoodOrder();
+  gateway.stopGracefully();
   while (gateway.isReady()) {
     std::this_thread::yield();
   }
--- a/tests/gateway/occupancy_messages_test.cc
+++ b/tests/gateway/occupancy_messages_test.cc
@@ -8,42 +8,43 @@
 namespace quincewick::gateway {
 namespace {
 
-const OccupancyMessage kHeld{OccupancyMessageKind::kHeld, 5, 77, 12, 9190, 0.25, {31'000, 180, 60}, 0};
+const OccupancyMessage kReserved{
+    OccupancyMessageKind::kReserved, 5, 77, 12, 9190, 0.25, {31'000, 180, 60}, 0};
 
 TEST_CASE(
     "a message about an engine's places reads back as it was written, and no part of it passes for one") {
-  const std::string bytes = encodeOccupancyMessage(kHeld);
+  const std::string bytes = encodeOccupancyMessage(kReserved);
   const auto read = decodeOccupancyMessage(bytes);
   REQUIRE(read.has_value());
-  CHECK(read.value().kind == kHeld.kind);
+  CHECK(read.value().kind == kReserved.kind);
   CHECK(read.value().number == 5);
   CHECK(read.value().engine == 77);
   CHECK(read.value().running == 12);
   CHECK(read.value().prefill_tokens == 9190);
-  CHECK(read.value().most_seconds == 0.25);
-  CHECK(read.value().capability == kHeld.capability);
+  CHECK(read.value().max_load_seconds == 0.25);
+  CHECK(read.value().capability == kReserved.capability);
   for (size_t length = 0; length < bytes.size(); ++length) {
     CHECK(decodeOccupancyMessage(bytes.substr(0, length)).has_error());
   }
 }
 
 TEST_CASE("unknown kinds and absurd sizes are refused, a question without a bound is not") {
-  OccupancyMessage message = kHeld;
+  OccupancyMessage message = kReserved;
   message.kind = static_cast<OccupancyMessageKind>(6);
   CHECK(decodeOccupancyMessage(encodeOccupancyMessage(message)).has_error());
-  message = kHeld;
+  message = kReserved;
   message.prefill_tokens = std::numeric_limits<uint64_t>::max();
   CHECK(decodeOccupancyMessage(encodeOccupancyMessage(message)).has_error());
-  message = kHeld;
-  message.most_seconds = std::numeric_limits<double>::quiet_NaN();
+  message = kReserved;
+  message.max_load_seconds = std::numeric_limits<double>::quiet_NaN();
   CHECK(decodeOccupancyMessage(encodeOccupancyMessage(message)).has_error());
-  message.most_seconds = std::numeric_limits<double>::infinity();
+  message.max_load_seconds = std::numeric_limits<double>::infinity();
   CHECK(decodeOccupancyMessage(encodeOccupancyMessage(message)).has_value());
 }
 
 TEST_CASE("an answer about an engine faster or slower than any is refused") {
   for (const uint32_t nanoseconds : {0U, 999U, 10'000'001U}) {
-    OccupancyMessage message = kHeld;
+    OccupancyMessage message = kReserved;
     message.capability.read_ns_per_token = nanoseconds;
     CHECK(decodeOccupancyMessage(encodeOccupancyMessage(message)).has_error());
     message.kind = OccupancyMessageKind::kReserve;  // tells of no engine
--- a/tests/gateway/running_gateway.h
+++ b/tests/gateway/running_gateway.h
@@ -58,7 +58,7 @@
   std::string metrics() const {
     return askAt(gateway_.metricsPort(), "GET /metrics HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
   }
-  void stopInGoodOrder() { gateway_.stopInGoodOrder(); }
+  void stopGracefully() { gateway_.stopGracefully(); }
 
   std::string ask(const std::string& target, const HeaderFields& more, const std::string& body = "") const {
     HeaderFields fields = {{"Host", "h"},
--- a/tests/gateway/server_rate_test.cc
+++ b/tests/gateway/server_rate_test.cc
@@ -12,19 +12,19 @@
 namespace {
 
 // From then on a gateway that passed on such an answer is bound by it.
-constexpr std::chrono::milliseconds kTold(500);
+constexpr std::chrono::milliseconds kReported(500);
 
-// A service with a server that names a rate, `named`, in its answers; empty: none.
+// A service with a server that names a rate, `reported_rate`, in its answers; empty: none.
 struct RateSite : Fixture {
-  std::shared_ptr<std::string> named = std::make_shared<std::string>("1");
+  std::shared_ptr<std::string> reported_rate = std::make_shared<std::string>("1");
   std::shared_ptr<std::mutex> mutex = std::make_shared<std::mutex>();
 
   RateSite() {
-    site.addServer("i-limited", [named = named, mutex = mutex](const Seen& /*seen*/) {
+    site.addServer("i-limited", [reported_rate = reported_rate, mutex = mutex](const Seen& /*seen*/) {
       HeaderFields fields = {{"Quincewick-Response-Signature", "s"}, {"Quincewick-Attempt-Id", "attempt-1"}};
       const std::lock_guard lock(*mutex);
-      if (!named->empty()) {
-        fields.push_back({"Server-Limit", *named});
+      if (!reported_rate->empty()) {
+        fields.push_back({"Server-Limit", *reported_rate});
       }
       return Script{answerOf(200, fields, "served")};
     });
@@ -33,9 +33,9 @@
   void addUnlimited() {
     site.addServer("i-other", [](const Seen& /*seen*/) { return Script{signedAnswer("served")}; });
   }
-  void name(const std::string& rate) {
+  void setRate(const std::string& rate) {
     const std::lock_guard lock(*mutex);
-    *named = rate;
+    *reported_rate = rate;
   }
   size_t atLimited() const {
     const std::vector<Seen> all = site.seen();
@@ -45,7 +45,7 @@
 };
 
 // Asks until the limited server has answered through the gateway.
-void tell(const RateSite& site, const RunningGateway& gateway) {
+void reportRate(const RateSite& site, const RunningGateway& gateway) {
   const size_t before = site.atLimited();
   while (site.atLimited() == before) {
     gateway.ask("/safe/a", kKey);
@@ -68,12 +68,12 @@
   const RunningGateway second(RunningGateway::settings("b", site.storeAddress(), site));
   awaitPeer(first);
   awaitPeer(second);
-  tell(*this, first);
-  tell(*this, second);
+  reportRate(*this, first);
+  reportRate(*this, second);
   addUnlimited();
   awaitServers(first, 2);
   awaitServers(second, 2);
-  std::this_thread::sleep_for(kTold);
+  std::this_thread::sleep_for(kReported);
   const size_t before = atLimited();
   const auto begin = std::chrono::steady_clock::now();
   for (int asked = 0; asked < 50; ++asked) {
@@ -88,8 +88,8 @@
 TEST_CASE_METHOD(
     RateSite, "where only a limited server is left, the rest is rejected at once and told when to return") {
   const RunningGateway gateway(site);
-  tell(*this, gateway);
-  std::this_thread::sleep_for(kTold);
+  reportRate(*this, gateway);
+  std::this_thread::sleep_for(kReported);
   const size_t before = atLimited();
   const auto begin = std::chrono::steady_clock::now();
   size_t rejected = 0;
@@ -108,8 +108,8 @@
 
 TEST_CASE_METHOD(RateSite, "a server that names no rate any more gets all requests again") {
   const RunningGateway gateway(site);
-  tell(*this, gateway);
-  name("");
+  reportRate(*this, gateway);
+  setRate("");
   // The next answer that the rate lets through ends it.
   await([&gateway] { return gateway.ask("/once/a", kKey).ends_with("served"); });
   for (int asked = 0; asked < 30; ++asked) {
@@ -119,7 +119,7 @@
 
 TEST_CASE_METHOD(RateSite, "a rate that can't be read limits nothing, and is told") {
   for (const char* malformed : {"", "many", "-1", "nan", "inf", "1,2"}) {
-    name(malformed);
+    setRate(malformed);
     const RunningGateway gateway(RunningGateway::settings("a", site.storeAddress(), site));
     for (int asked = 0; asked < 30; ++asked) {
       CHECK(gateway.ask("/once/a", kKey).ends_with("served"));
@@ -132,9 +132,9 @@
 
 // Else nobody would learn that its limit ended.
 TEST_CASE_METHOD(RateSite, "a server that wants nothing at all is still asked now and then") {
-  name("0");
+  setRate("0");
   const RunningGateway gateway(site);
-  tell(*this, gateway);
+  reportRate(*this, gateway);
   const size_t before = atLimited();
   await([&] {
     gateway.ask("/once/a", kKey);
--- a/tests/gateway/server_rest_test.cc
+++ b/tests/gateway/server_rest_test.cc
@@ -10,14 +10,14 @@
 namespace quincewick::gateway {
 namespace {
 
-constexpr size_t kRequestsDuringRest = 2;
+constexpr size_t kRequestsDuringBackOff = 2;
 
 // A service with a server that turns requests away and asks for a rest of `rest` seconds; empty: it serves.
-struct RestSite : Fixture {
+struct BackOffSite : Fixture {
   std::shared_ptr<std::string> rest = std::make_shared<std::string>("60");
   std::shared_ptr<std::mutex> mutex = std::make_shared<std::mutex>();
 
-  RestSite() {
+  BackOffSite() {
     site.addServer("i-full", [rest = rest, mutex = mutex](const Seen& /*seen*/) {
       const std::lock_guard lock(*mutex);
       Script script{signedAnswer("served")};
@@ -27,7 +27,7 @@
       return script;
     });
   }
-  void ask(const std::string& seconds) {
+  void setBackOff(const std::string& seconds) {
     const std::lock_guard lock(*mutex);
     *rest = seconds;
   }
@@ -45,7 +45,7 @@
   return place == std::string::npos ? 0 : std::stod(answer.substr(place + name.size()));
 }
 
-TEST_CASE_METHOD(RestSite, "a server that asked for rest gets nothing meanwhile, and others serve") {
+TEST_CASE_METHOD(BackOffSite, "a server that asked for rest gets nothing meanwhile, and others serve") {
   const RunningGateway gateway(RunningGateway::settings("a", site.storeAddress(), site));
   CHECK(has(gateway.ask("/safe/a", kKey), "HTTP/1.1 503"));
   site.addServer("i-other", [](const Seen& /*seen*/) { return Script{signedAnswer("served")}; });
@@ -54,10 +54,10 @@
   for (int asked = 0; asked < 20; ++asked) {
     CHECK(gateway.ask("/once/a", kKey).ends_with("served"));
   }
-  CHECK(atFull() - before <= kRequestsDuringRest);
+  CHECK(atFull() - before <= kRequestsDuringBackOff);
 }
 
-TEST_CASE_METHOD(RestSite,
+TEST_CASE_METHOD(BackOffSite,
                  "while the only server rests, requests are rejected at once and told when it ends") {
   const RunningGateway gateway(site);
   const auto begin = std::chrono::steady_clock::now();
@@ -68,17 +68,17 @@
     answer = gateway.ask("/once/a", kKey);
     CHECK(has(answer, "HTTP/1.1 503"));
   }
-  CHECK(atFull() - before <= kRequestsDuringRest);
+  CHECK(atFull() - before <= kRequestsDuringBackOff);
   const std::chrono::duration<double> passed = std::chrono::steady_clock::now() - begin;
   CHECK(retryAfterOf(answer) <= 60);
   CHECK(retryAfterOf(answer) >= 59.9 - passed.count());
 }
 
-TEST_CASE_METHOD(RestSite, "a server whose rest is over serves again") {
-  ask("0.3");
+TEST_CASE_METHOD(BackOffSite, "a server whose rest is over serves again") {
+  setBackOff("0.3");
   const RunningGateway gateway(site);
   CHECK(has(gateway.ask("/safe/a", kKey), "HTTP/1.1 503"));
-  ask("");
+  setBackOff("");
   await([&gateway] { return gateway.ask("/once/a", kKey).ends_with("served"); });
   for (int asked = 0; asked < 20; ++asked) {
     CHECK(gateway.ask("/once/a", kKey).ends_with("served"));
--- a/tests/gateway/stand_in_site.h
+++ b/tests/gateway/stand_in_site.h
@@ -45,14 +45,14 @@
   Address address() const { return {"127.0.0.1", listener_.port()}; }
 
  private:
-  class Talk final : public reactor::ConnectionHandler {
+  class ServerConnection final : public reactor::ConnectionHandler {
    public:
-    Talk(StandInServer& server, reactor::Connection::Socket socket)
+    ServerConnection(StandInServer& server, reactor::Connection::Socket socket)
         : server_(server),
           connection_(std::make_shared<reactor::Connection>(std::move(socket))),
           reader_(reactor::MessageKind::kRequest, {}) {}
     void start() { connection_->start(this); }
-    void breakOff() { connection_->abort(); }
+    void abort() { connection_->abort(); }
 
    private:
     void onBytes(std::string_view bytes) override {
@@ -85,18 +85,18 @@
 
   void crash() {
     listener_.close();
-    for (const auto& talk : talks_) {
-      talk->breakOff();
+    for (const auto& connection : connections_) {
+      connection->abort();
     }
   }
 
   void accept(reactor::Connection::Socket socket) {
-    talks_.push_back(std::make_unique<Talk>(*this, std::move(socket)));
-    talks_.back()->start();
+    connections_.push_back(std::make_unique<ServerConnection>(*this, std::move(socket)));
+    connections_.back()->start();
   }
 
   Handler handler_;
-  std::vector<std::unique_ptr<Talk>> talks_;
+  std::vector<std::unique_ptr<ServerConnection>> connections_;
   reactor::Listener listener_;
 };
 
@@ -120,7 +120,7 @@
     });
     second_store_ =
         std::make_unique<StandInServer>(reactor_, [this](const HttpHead& head, const std::string& body) {
-          noteSecondCall(head.target);
+          recordSecondCall(head.target);
           return refusesSecond() ? Script{answerOf(503, {}, "")} : answerAsStore(head, body);
         });
     thread_ = std::thread([this] { reactor_.run(); });
@@ -206,7 +206,7 @@
     return refuses_second_;
   }
 
-  void noteSecondCall(const std::string& target) {
+  void recordSecondCall(const std::string& target) {
     const std::lock_guard lock(mutex_);
     second_calls_.push_back(target);
   }
