--- a/src/gateway/back_end_connection.cc
+++ b/src/gateway/back_end_connection.cc
@@ -15,7 +15,7 @@
 constexpr absl::Duration kConnectTimeout = absl::Milliseconds(250);
 constexpr absl::Duration kSilenceTimeout = absl::Seconds(1);
 constexpr MessageLimits kResponseLimits = {65536, uint64_t{1} << 40};
-constexpr uint32_t kMaxSkippedResponses = 3;  // late answers to earlier requests on one connection
+constexpr uint32_t kMaxSkippedResponses = 3;  // late responses to earlier requests on one connection
 constexpr absl::Duration kIdleMargin = absl::Seconds(1);
 constexpr absl::Duration kMinIdleLimit = absl::Milliseconds(300);
 constexpr int kFirstFinalStatus = 200;
@@ -56,7 +56,7 @@
         if (!connected) {
           self->recordConnectFailure(result);
         }
-        // It may have left, or asked for rest, while the connection was made.
+        // The server may have left or asked for a back-off period while the connection was being established.
         if (!connected || !self->server_->mayReceive(reactor::steadyNow())) {
           AttemptListener* const listener = self->listener_;
           self->close();
@@ -90,7 +90,7 @@
 void BackEndConnection::onBytes(std::string_view bytes) {
   const auto self = shared_from_this();
   if (listener_ == nullptr) {
-    close();  // nobody waits for these
+    close();  // no attempt is in progress
     return;
   }
   if (reader_.take(bytes) == ReadStatus::kMalformed || reader_.status() == ReadStatus::kHeaderTooLarge) {
@@ -116,7 +116,7 @@
     }
     if (!is_head_delivered_ && !handleHead()) {
       if (reader_.status() != ReadStatus::kDone) {
-        return;  // the rest of a late answer to an earlier request
+        return;  // more of a late response to an earlier request follows
       }
       if (++skipped_responses_ > kMaxSkippedResponses) {
         failAttempt();
@@ -137,7 +137,7 @@
   }
 }
 
-// Whether the answer is to this attempt; its head has been told then.
+// Whether the response belongs to this attempt; its head has been delivered then.
 bool BackEndConnection::handleHead() {
   const forwarding::AnswerFacts facts = pool_.core_.dialect->readAnswer(reader_.head());
   const bool is_awaited = facts.attempt_id.empty() || facts.attempt_id == request_.attempt_id;
--- a/src/gateway/back_end_connection.h
+++ b/src/gateway/back_end_connection.h
@@ -1,4 +1,4 @@
-// One connection to a server and the attempt that it carries, if any.
+// A connection to a server and the attempt in progress on it, if any.
 #pragma once
 
 #include <absl/time/time.h>
@@ -15,11 +15,11 @@
  public:
   BackEndConnection(BackEndPool& pool, forwarding::ServerDirectory::ServerPointer server);
 
-  // Begins an attempt: connects first where there is no connection yet. Returns its number.
+  // Starts an attempt, after connecting if there is no connection yet. Returns the attempt's number.
   uint64_t begin(AttemptRequest request, AttemptListener* listener);
-  // Closes the connection; a listener hears nothing more.
+  // Closes the connection; the listener is not called any more.
   void close();
-  // These do nothing once the attempt of that number has ended.
+  // No effect if the attempt of that number has ended.
   void cancel(uint64_t number);
   void pause(uint64_t number);
   void resume(uint64_t number);
--- a/src/gateway/back_end_pool.h
+++ b/src/gateway/back_end_pool.h
@@ -1,7 +1,7 @@
-// Kept connections to servers, and attempts over them: one request at a time on a connection.
+// Pool of persistent connections to servers, and attempts over them: one request at a time on a connection.
 //
-// An attempt says exactly what its reply allows: whether a byte of the request may have left, and whether the
-// answer is whole. A connection that carries bytes nobody asked for is never used again.
+// An attempt reports whether any byte of the request may have been sent, and whether the response is
+// complete. A connection that receives unsolicited bytes is closed.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -19,7 +19,7 @@
 
 namespace quincewick::gateway {
 
-// Hears of one attempt. After onNeverSent, onResponseEnd or onResponseBroken nothing more comes.
+// Callbacks of one attempt. onNeverSent, onResponseEnd and onResponseBroken are final.
 class AttemptListener {
  public:
   AttemptListener() = default;
@@ -27,41 +27,42 @@
   AttemptListener& operator=(const AttemptListener&) = delete;
   virtual ~AttemptListener() = default;
 
-  // The request's first byte leaves now.
+  // The request is about to be written.
   virtual void onSending() = 0;
-  // No connection came up: nothing was sent.
+  // Nothing was sent: no connection was established, or the server takes no requests any more.
   virtual void onNeverSent() = 0;
   virtual void onResponseHead(const HttpHead& head, const forwarding::AnswerFacts& facts) = 0;
   virtual void onResponseBody(std::string bytes) = 0;
   virtual void onResponseEnd() = 0;
-  // The connection ended, or carried no answer to this request, after the request was sent.
+  // After the request was sent, the connection ended or carried no valid response to it.
   virtual void onResponseBroken() = 0;
 };
 
-// What goes over the wire for one attempt.
+// The request as it is sent in one attempt.
 struct AttemptRequest {
   std::string bytes;  // head and body
   std::string attempt_id;
-  bool is_head_method = false;  // its answer has no body
-  // A request that may run once at most is not sent on a connection that has rested for long.
+  bool is_head_method = false;  // the response has no body
+  // Set for a request that may run at most once: a connection that was idle for long isn't used, as the
+  // server may be closing it.
   bool wants_fresh_connection = false;
 };
 
 class BackEndConnection;
 
-// One attempt under way.
+// An attempt in progress.
 class Attempt {
  public:
-  // `number` tells the attempt from others that the link carries before and after.
+  // `number`: identifies the attempt among those on the same connection.
   Attempt(std::shared_ptr<BackEndConnection> connection, uint64_t number)
       : connection_(std::move(connection)), number_(number) {}
   Attempt(const Attempt&) = delete;
   Attempt& operator=(const Attempt&) = delete;
   ~Attempt() { cancel(); }
 
-  // Ends it by closing its connection; the listener hears nothing more.
+  // Ends the attempt by closing its connection; the listener is not called any more.
   void cancel();
-  // Stops and goes on taking the answer's bytes, while the caller is slow.
+  // Stop and resume reading the response while the caller is slow.
   void pause();
   void resume();
 
@@ -76,10 +77,10 @@
   BackEndPool(const BackEndPool&) = delete;
   BackEndPool& operator=(const BackEndPool&) = delete;
 
-  // The listener outlives the attempt or cancels it.
+  // The listener must outlive the attempt or cancel it.
   std::unique_ptr<Attempt> start(const forwarding::ServerDirectory::ServerPointer& server,
                                  AttemptRequest request, AttemptListener* listener);
-  // Closes idle connections to servers that are gone, and those that rested too long.
+  // Closes idle connections to servers that are no longer listed, and those idle beyond their limit.
   void sweep(absl::Time now);
   uint64_t openedConnections() const { return opened_; }
 
@@ -87,7 +88,7 @@
   friend class BackEndConnection;
 
   struct ServerConnections {
-    std::vector<std::shared_ptr<BackEndConnection>> idle;  // the latest used last
+    std::vector<std::shared_ptr<BackEndConnection>> idle;  // most recently used last
     uint32_t open = 0;
   };
   void returnIdle(const std::shared_ptr<BackEndConnection>& connection);
--- a/src/gateway/back_pressure_notes.cc
+++ b/src/gateway/back_pressure_notes.cc
@@ -5,13 +5,14 @@
 namespace quincewick::gateway {
 namespace {
 
-// The address may have another server by now: what that one says is not the expected server's word.
+// Another server may use the address by now; its signals don't apply to the expected one.
 bool isFromServer(const forwarding::Server& server, const forwarding::AnswerFacts& facts) {
   const bool has_other_id = facts.server_id && *facts.server_id != server.entry.id;
   return !(facts.is_other_server && has_other_id);
 }
 
-void noteRateLimit(Core& core, const forwarding::Server& server, std::optional<double> rate, absl::Time now) {
+void recordRateLimit(Core& core, const forwarding::Server& server, std::optional<double> rate,
+                     absl::Time now) {
   if (!server.back_pressure->noteRateLimit(rate)) {
     return;
   }
@@ -25,20 +26,20 @@
   }
 }
 
-void noteLeaving(Core& core, const forwarding::Server& server, absl::Time now) {
+void recordLeaving(Core& core, const forwarding::Server& server, absl::Time now) {
   if (server.back_pressure->noteLeaving()) {
     core.metrics.countBackPressure("leaving");
     core.log.event("server_leaving", now).with("server", server.entry.id);
   }
 }
 
-void noteRest(Core& core, const forwarding::Server& server, absl::Duration rest, absl::Time now) {
-  if (server.back_pressure->noteRest(rest, now)) {
+void recordBackOff(Core& core, const forwarding::Server& server, absl::Duration back_off, absl::Time now) {
+  if (server.back_pressure->noteRest(back_off, now)) {
     core.metrics.countBackPressure("rest");
     core.log.event("server_rest", now)
         .with("server", server.entry.id)
         .with("service", server.entry.service.value())
-        .with("asked_ms", rest);
+        .with("asked_ms", back_off);
   }
 }
 
@@ -55,13 +56,13 @@
   }
   const bool ends_limit = is_awaited && facts.unreadable_fields.empty();
   if (facts.rate_limit || ends_limit) {
-    noteRateLimit(core, server, facts.rate_limit, now);
+    recordRateLimit(core, server, facts.rate_limit, now);
   }
   if (facts.is_leaving) {
-    noteLeaving(core, server, now);
+    recordLeaving(core, server, now);
   }
   if (facts.rest) {
-    noteRest(core, server, *facts.rest, now);
+    recordBackOff(core, server, *facts.rest, now);
   } else if (is_awaited) {
     server.back_pressure->noteAnswered(now);
   }
--- a/src/gateway/back_pressure_notes.h
+++ b/src/gateway/back_pressure_notes.h
@@ -1,4 +1,5 @@
-// Takes in what servers ask of their callers in their answers, and tells it in the log and the metrics.
+// Applies back pressure that servers signal in their responses (rate limits, back-off periods, leaving), and
+// records it in the log and the metrics.
 #pragma once
 
 #include <absl/time/time.h>
@@ -7,8 +8,8 @@
 
 namespace quincewick::gateway {
 
-// An answer's head came from the server. `is_awaited`: it is to the request under way; a late answer to an
-// earlier one may be old, so it ends nothing.
+// Processes the head of a server's response. `is_awaited`: it belongs to the current request. A late response
+// to an earlier request may be outdated, so it lifts no limit.
 void noteBackPressure(Core& core, const forwarding::Server& server, const forwarding::AnswerFacts& facts,
                       bool is_awaited, absl::Time now);
 
--- a/src/gateway/caller_connection.cc
+++ b/src/gateway/caller_connection.cc
@@ -18,7 +18,7 @@
 constexpr int kNoContent = 204;
 constexpr int kNotModified = 304;
 constexpr absl::Duration kLingerTimeout = absl::Seconds(1);
-constexpr size_t kMaxUnreadBytes = 65536;  // of requests that wait for the one before
+constexpr size_t kMaxUnreadBytes = 65536;  // of pipelined requests
 
 MessageLimits limitsOf(const Core& core) {
   if (core.in_force.configuration == nullptr) {
@@ -198,7 +198,7 @@
   close(true);
 }
 
-// A head that is under way has its own limit; between requests the idle limit holds.
+// A partially received head has its own timeout; between requests the idle timeout applies.
 void CallerConnection::armTimer() {
   core_.timers.cancel(timer_);
   const forwarding::CallerLimits limits = callerLimits(core_);
@@ -216,7 +216,7 @@
     return;
   }
   if (reader_.headComplete()) {
-    armTimer();  // a long body may take its time
+    armTimer();  // a body has no timeout of its own
     return;
   }
   rejectInput(kRequestTimeout);
--- a/src/gateway/caller_connection.h
+++ b/src/gateway/caller_connection.h
@@ -1,4 +1,4 @@
-// One caller's connection: reads requests one after the other, and writes each one's answer.
+// A caller's connection: processes its requests one at a time and writes the responses.
 #pragma once
 
 #include <absl/time/time.h>
@@ -19,14 +19,15 @@
                                public ResponseSink,
                                public std::enable_shared_from_this<CallerConnection> {
  public:
-  // `closed` is called once, when the connection is of no more use.
+  // Called once, when the connection is closed.
   using Closed = std::function<void(CallerConnection*)>;
 
   CallerConnection(Core& core, BackEndPool& pool, reactor::Connection::Socket socket, Closed closed);
   ~CallerConnection() override;
 
   void start();
-  // The process stops: an idle connection that has served is closed, others after their answer.
+  // On shutdown: closes the connection if it is idle and has served a request. Others close after their
+  // response.
   void closeIfIdle();
   bool isServing() const { return exchange_ != nullptr; }
 
@@ -57,12 +58,12 @@
   std::shared_ptr<Exchange> exchange_;
   reactor::TimerQueue::Key timer_;
   bool is_open_ = true;
-  bool keeps_alive_ = true;         // after the answer under way
-  bool is_chunked_ = false;         // the answer under way
-  bool is_end_detectable_ = false;  // by a length or chunks: a cut answer does not look whole
-  bool is_bodyless_ = false;        // an answer to HEAD
+  bool keeps_alive_ = true;         // after the current response
+  bool is_chunked_ = false;         // the current response
+  bool is_end_detectable_ = false;  // by a length or chunks: a truncated response doesn't look complete
+  bool is_bodyless_ = false;        // a response to HEAD
   bool expects_continue_ = false;
-  bool is_reading_ = false;  // guards against reading on from within an answer
+  bool is_reading_ = false;  // guards against reentry of processInput from a response
   uint64_t served_ = 0;
 };
 
--- a/src/gateway/capability_message.cc
+++ b/src/gateway/capability_message.cc
@@ -5,7 +5,7 @@
 namespace quincewick::gateway {
 namespace {
 
-// A token within a microsecond, or in ten milliseconds: a factor of 25 and of 400 from engines of today.
+// Prefill time per token: 1 us to 10 ms, a factor of 25 and of 400 from current engines.
 constexpr uint32_t kMinReadNsPerToken = 1'000;
 constexpr uint32_t kMaxReadNsPerToken = 10'000'000;
 
@@ -26,7 +26,7 @@
 
 Result<forwarding::EngineCapability> capabilityFrom(const CapabilityMessage& message) {
   if (message.read_ns_per_token < kMinReadNsPerToken || message.read_ns_per_token > kMaxReadNsPerToken) {
-    return fail(ErrorCode::kInvalidArgument, "no engine reads a token in that time");
+    return fail(ErrorCode::kInvalidArgument, "prefill time per token is out of range");
   }
   forwarding::EngineCapability capability;
   capability.read_per_token = absl::Nanoseconds(message.read_ns_per_token);
--- a/src/gateway/capability_message.h
+++ b/src/gateway/capability_message.h
@@ -1,4 +1,4 @@
-// What an engine can do, as gateways tell it each other.
+// An engine's measured capability, as gateways report it to each other.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +21,7 @@
 };
 
 CapabilityMessage messageOf(const forwarding::EngineCapability& capability);
-// Errors: kInvalidArgument, where no engine is that fast or slow.
+// Errors: kInvalidArgument for a prefill speed out of range.
 Result<forwarding::EngineCapability> capabilityFrom(const CapabilityMessage& message);
 
 }  // namespace quincewick::gateway
--- a/src/gateway/core.cc
+++ b/src/gateway/core.cc
@@ -10,7 +10,7 @@
 namespace quincewick::gateway {
 namespace {
 
-// Clocks of machines differ by seconds. What is further ahead is no clock.
+// Machines' clocks differ by seconds; a larger difference is an error.
 constexpr absl::Duration kMaxClockSkew = absl::Hours(1);
 constexpr absl::Duration kRevocationMargin = absl::Milliseconds(300);
 
--- a/src/gateway/core.h
+++ b/src/gateway/core.h
@@ -1,4 +1,4 @@
-// What the parts of one gateway share: the reactor, what is known of the site, and how requests are counted.
+// State shared by the parts of one gateway: the reactor, the view of the site, limits, and metrics.
 #pragma once
 
 #include <absl/container/flat_hash_set.h>
@@ -24,10 +24,10 @@
 
 namespace quincewick::gateway {
 
-// The configuration in force here, and how fresh it is.
+// The configuration in force at this gateway, and when it was confirmed.
 struct ConfigurationInForce {
-  std::shared_ptr<const forwarding::SiteConfiguration> configuration;  // null: none is known yet
-  absl::Time confirmed = absl::InfinitePast();  // when the last reading of the store that confirmed it began
+  std::shared_ptr<const forwarding::SiteConfiguration> configuration;  // null: none yet
+  absl::Time confirmed = absl::InfinitePast();  // start of the last store read that confirmed it
 };
 
 class CrashDetector;
@@ -51,59 +51,59 @@
   forwarding::EnginePlacement placement;
   forwarding::RetryBudget budget;
   forwarding::WeightsRegister weights;
-  // Placements made since peers were last told.
+  // Placements since the last digest to peers.
   struct UnreportedPlacement {
     uint64_t server = 0;  // its identity hash
     std::vector<BlockKey> keys;
   };
   std::vector<UnreportedPlacement> unreported_placements;
-  // Versions of weights that engines' answers told, unknown here before, since peers were last told.
+  // Weights versions learned from engines' responses since the last digest to peers.
   struct UnreportedVersion {
     uint64_t server = 0;  // its identity hash
     ModelName model;
     WeightsVersion version;
   };
   std::vector<UnreportedVersion> unreported_versions;
-  // What engines can do, of those whose books this gateway keeps, since peers were last told.
+  // Measured capabilities, of engines whose occupancy this gateway owns, since the last digest to peers.
   struct UnreportedCapability {
     uint64_t server = 0;  // its identity hash
     forwarding::EngineCapability capability;
   };
   std::vector<UnreportedCapability> unreported_capabilities;
-  // Stores of kept cache that can't be reached, by name.
+  // Cache stores that can't be reached, by cacheStoreId.
   absl::flat_hash_set<uint64_t> unreachable_cache_stores;
   forwarding::StoreHistory store_history;
-  // The store's clock less this node's, as its last answer told; nothing before the first one.
+  // The store's clock minus this node's, from its last response; empty before the first one.
   std::optional<absl::Duration> store_clock_offset;
-  QuotaExchange* quotas = nullptr;          // set by the gateway before it takes callers
+  QuotaExchange* quotas = nullptr;          // set by the gateway before it accepts callers
   OccupancyExchange* occupancy = nullptr;   // the same
   ServerRates* server_rates = nullptr;      // the same
   CrashDetector* crash_detector = nullptr;  // the same
-  RolloutExchange* rollouts = nullptr;      // null: the site moves no versions in stages
+  RolloutExchange* rollouts = nullptr;      // null: the site has no staged rollouts
   bool is_stopping = false;
-  bool rejects_requests = false;  // late in a stop: what comes now is told to go elsewhere
+  bool rejects_requests = false;  // late in the shutdown: new requests get 503
   bool has_server_list = false;
-  absl::Time servers_as_of = absl::InfinitePast();  // the list of servers is as it was then, or newer
+  absl::Time servers_as_of = absl::InfinitePast();  // the server list is at least as recent
   size_t requests_under_way = 0;
-  uint64_t split_counter = 0;  // spreads requests over a route's services by their weights
+  uint64_t split_counter = 0;  // distributes requests over a route's services by weight
 
   static uint64_t cacheStoreId(const Address& store);
-  // The configuration's stores of kept cache that can be reached, as far as known.
+  // The configured cache stores, except those known to be unreachable.
   std::vector<forwarding::CacheStoreTraits> liveCacheStores() const;
-  // What is believed of the caches of servers that went is void.
+  // Forgets the cached prompts of servers that were removed.
   void clearFreedSlots();
-  // Whether a server may have started then, by this node's time of day. One that is far ahead would make
-  // every later start an earlier one.
+  // Whether a server may have started at that time, by this node's clock. A start time far in the future
+  // would make every later incarnation look older.
   bool isPlausibleStart(absl::Time started) const;
-  // Takes other bounds while serving; addresses and names stay as they were at the start.
+  // Applies new bounds at run time; addresses and names stay as they were at the start.
   void applyBounds(const GatewayBounds& bounds);
-  // The store's clock now, as far as known.
+  // The store's clock now; empty before its first response.
   std::optional<absl::Duration> storeClock(absl::Time now) const;
-  // Since the configuration in force was last confirmed; infinite where none is known.
+  // Time since the configuration in force was last confirmed; infinite if there is none.
   absl::Duration configurationAge(absl::Time now) const { return now - in_force.confirmed; }
-  // Whether every configuration is known that has to be in force now.
+  // Whether the configuration was confirmed within its bound, so that no newer one must be in force yet.
   bool configurationIsCurrent(absl::Time now) const;
-  // Whether a request under a key may be sent now.
+  // Whether keys were confirmed recently enough to send a request under a key now.
   bool keysAreConfirmed(absl::Time now) const;
 };
 
--- a/src/gateway/crash_detector.cc
+++ b/src/gateway/crash_detector.cc
@@ -12,9 +12,9 @@
 using forwarding::RequestIdentity;
 using reactor::ConnectResult;
 
-// A machine that answers does so within a trip between regions; one that is silent tells nothing.
+// A machine that responds does so within a round trip between regions; one that doesn't allows no conclusion.
 constexpr absl::Duration kProbeTimeout = absl::Milliseconds(250);
-constexpr size_t kMaxRequestsPerProbe = 256;  // of one look
+constexpr size_t kMaxRequestsPerProbe = 256;
 
 }  // namespace
 
@@ -39,7 +39,7 @@
   });
   probe.connection = reactor::Connection::connect(
       core_.reactor, server->entry.address, [this, incarnation](ConnectResult result) {
-        // Not from within the connection's own call.
+        // Deferred: finishProbe destroys the connection, which is still in its own callback.
         core_.timers.schedule(reactor::steadyNow(),
                               [this, incarnation, result] { finishProbe(incarnation, result); });
       });
--- a/src/gateway/crash_detector.h
+++ b/src/gateway/crash_detector.h
@@ -1,5 +1,6 @@
-// Looks whether a server ended when an attempt there broke off: its machine then refuses a new connection at
-// once. A reset connection, a cut, a silent machine, a server that leaves as it said are no ends.
+// Detects whether a server crashed when an attempt broke off: its machine then refuses a new connection at
+// once. A reset connection, a truncated response, a machine that doesn't respond, and a server that announced
+// that it leaves are not crashes.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -18,15 +19,15 @@
  public:
   CrashDetector(Core& core, CrashExchange& exchange) : core_(core), exchange_(exchange) {}
 
-  // An attempt at a server begins, and is over, however it ended.
+  // An attempt starts, and ends with any outcome.
   void noteSent(const forwarding::RequestIdentity& identity) { exchange_.noteSent(identity); }
   void noteOver(const forwarding::RequestIdentity& identity) { exchange_.noteOver(identity); }
-  // An attempt broke off after its request was sent.
+  // An attempt broke off after its request was sent: probes the server.
   void onAttemptBroken(const forwarding::ServerDirectory::ServerPointer& server,
                        const forwarding::RequestIdentity& identity);
   void noteServed(const forwarding::RequestIdentity& identity) { exchange_.noteServed(identity); }
-  // What may be done with the request now. One under suspicion waits while a server is looked at on which it
-  // broke off: so it doesn't end the next one meanwhile.
+  // Whether the request may be sent now. A suspect waits while a server on which it broke off is probed, so
+  // that it doesn't crash the next one meanwhile.
   forwarding::CrashVerdict verdictOn(const forwarding::RequestIdentity& identity);
 
  private:
@@ -41,7 +42,7 @@
 
   Core& core_;
   CrashExchange& exchange_;
-  absl::flat_hash_map<uint64_t, Probe> probes_;  // under way, by the server's life
+  absl::flat_hash_map<uint64_t, Probe> probes_;  // in progress, by the server's incarnation
 };
 
 }  // namespace quincewick::gateway
--- a/src/gateway/crash_exchange.cc
+++ b/src/gateway/crash_exchange.cc
@@ -13,19 +13,20 @@
 using forwarding::RequestIdentity;
 using forwarding::ServerEnd;
 
-// Ends of one moment go in one datagram.
+// Crashes within this time share a datagram.
 constexpr absl::Duration kBatchDelay = absl::Milliseconds(20);
-// An end that tells much is told more than once, for datagrams get lost.
+// A crash that adds to a suspect's count is reported more than once, since datagrams get lost.
 constexpr int kReportRounds = 3;
 constexpr absl::Duration kRoundInterval = absl::Milliseconds(300);
-// Rounds to all peers. Where more ends come, a rack or a zone goes, and no request is to blame.
+// Token bucket for broadcasts to all peers. More crashes than that mean that a rack or a zone fails and that
+// no request causes them.
 constexpr double kMaxRoundBurst = 8;
 constexpr double kRoundsPerSecond = 4;
 constexpr size_t kMaxPendingReports = 64;
-// Who starts or comes back hears within about a second what the others know.
+// A gateway that starts or comes back gets the peers' state within about a second.
 constexpr absl::Duration kHeartbeatInterval = absl::Seconds(1);
 constexpr size_t kPeersPerHeartbeat = 2;
-constexpr size_t kCrashFrameEntries = 2;  // what an end takes of a datagram's room beside its requests
+constexpr size_t kCrashFrameEntries = 2;  // entries of a datagram that a crash takes beside its requests
 
 }  // namespace
 
@@ -52,8 +53,8 @@
   return CrashVerdict::kSend;
 }
 
-// The first in rank of the gateways that are heard. Where two take themselves for it, there are two trials:
-// the site allows three.
+// Whether this gateway ranks first among the live gateways. If two gateways both conclude so, there are two
+// trials; the site allows three.
 bool CrashExchange::ownsTrial(const RequestIdentity& identity) {
   std::vector<routing::KeeperMember> members = {{core_.settings.gateway_id, 1}};
   for (const NodeId& peer : peers_.livePeers(reactor::steadyNow())) {
@@ -69,7 +70,7 @@
   register_.noteSent(identity, reactor::steadyNow());
 }
 
-// What was served lately is sound: it is not told as one that was there.
+// Requests that were served lately are no suspects and are left out of the report.
 void CrashExchange::onServerCrash(ServerEnd end) {
   const absl::Time now = reactor::steadyNow();
   std::erase_if(end.there, [this, now](const auto& identity) { return register_.wasServed(identity, now); });
@@ -106,7 +107,8 @@
   }
 }
 
-// All gateways come to it by the same evidence; the one that had its last piece writes it down.
+// All gateways reach the same decision from the same evidence; the one that saw the last crash writes the
+// record.
 void CrashExchange::settle(bool writes_record) {
   for (const RequestIdentity& identity : register_.settle(reactor::steadyNow())) {
     logQuarantine(identity, writes_record ? "own_evidence" : "peers_evidence");
@@ -171,7 +173,7 @@
 
 void CrashExchange::scheduleReports(absl::Time at) {
   if (at >= timer_at_) {
-    return;  // the timer that is set comes first, and looks again
+    return;  // the earlier timer reschedules
   }
   core_.timers.cancel(timer_);
   timer_at_ = at;
@@ -237,7 +239,7 @@
   core_.timers.schedule(now + kHeartbeatInterval, [this] { heartbeat(); });
 }
 
-// Two of the others, drawn at random, hear what a gateway must know that starts or comes back.
+// Sends the state that a gateway needs after a start or an outage to kPeersPerHeartbeat random peers.
 void CrashExchange::reportToRandomPeers() {
   const auto& peers = directory_.peers();
   CrashMessage message;
@@ -259,7 +261,7 @@
   const bool begins = reads_store_() && !was_reading_;
   was_reading_ = was_reading_ || begins;
   if (begins) {
-    // Whether a request that only the record knows was tried once more isn't known any longer.
+    // The record doesn't say whether the request had its trial; it is assumed to have had it.
     record_.read([this](const RequestIdentity& identity) {
       if (!register_.isBlamed(identity)) {
         handleQuarantined({identity, true});
--- a/src/gateway/crash_exchange.h
+++ b/src/gateway/crash_exchange.h
@@ -1,5 +1,5 @@
-// What this gateway and its peers know of requests that end servers: takes what is seen here, tells the
-// others, and says what may be done with a request (docs/design/crashing_requests.md).
+// Shares with peers which requests crash servers: records crashes seen here, reports them, merges peers'
+// reports, and decides whether a request may be sent (docs/design/crashing_requests.md).
 #pragma once
 
 #include <absl/container/btree_set.h>
@@ -24,17 +24,17 @@
  public:
   CrashExchange(Core& core, PeerDirectory& directory, PeerExchange& peers);
 
-  // `reads_store`: whether this gateway reads the store for its zone now.
+  // `reads_store`: whether this gateway is its zone's reader now.
   void start(std::function<bool()> reads_store);
 
-  // A server ended while these requests of this gateway were there.
+  // A server crashed while it ran these requests of this gateway.
   void onServerCrash(forwarding::ServerEnd end);
-  // A request was served whole here.
+  // A request got a complete response here.
   void noteServed(const forwarding::RequestIdentity& identity);
-  // An attempt at a server begins, and is over.
+  // An attempt starts, and ends.
   void noteSent(const forwarding::RequestIdentity& identity);
   void noteOver(const forwarding::RequestIdentity& identity) { register_.noteOver(identity); }
-  // What may be done with the request now. Where it is sent though it is to blame, that is its trial.
+  // Whether the request may be sent now. A quarantined request that is sent all the same is on trial.
   forwarding::CrashVerdict verdictOn(const forwarding::RequestIdentity& identity);
   bool isSuspect(const forwarding::RequestIdentity& identity) const { return register_.isSuspect(identity); }
   size_t blamedCount() const { return register_.blamedCount(); }
@@ -45,7 +45,7 @@
     forwarding::ServerEnd end;
     absl::Time seen;
     absl::Time due;
-    int rounds = 1;  // in which it is still to be told
+    int rounds = 1;  // remaining rounds of sending
   };
 
   Result<void> receive(const NodeId& from, std::string_view payload);
@@ -54,12 +54,12 @@
   void handleCleared(const forwarding::RequestIdentity& identity, bool is_own);
   void handleQuarantined(const forwarding::BlamedRequest& blamed);
   void logQuarantine(const forwarding::RequestIdentity& identity, std::string_view by);
-  // Whether a request that is charged was served here: then the others hear that.
+  // Whether a suspect was served here: if so, queues an objection for the peers.
   bool objectIfServed(const forwarding::RequestIdentity& identity);
   void queueReport(const forwarding::ServerEnd& end);
   void scheduleReports(absl::Time at);
   void sendReports();
-  // What is due now, as much as a datagram holds.
+  // The reports that are due now, as many as fit into a datagram.
   CrashMessage takeDueReports(absl::Time now);
   void broadcast(const CrashMessage& message);
   bool ownsTrial(const forwarding::RequestIdentity& identity);
@@ -78,7 +78,7 @@
   absl::btree_set<forwarding::RequestIdentity> cleared_to_report_;
   reactor::TimerQueue::Key timer_;
   absl::Time timer_at_ = absl::InfiniteFuture();
-  double round_budget_ = 0;  // of telling all, saved up
+  double round_budget_ = 0;  // token bucket for broadcasts
   absl::Time round_budget_updated_ = absl::InfinitePast();
 };
 
--- a/src/gateway/crash_message.cc
+++ b/src/gateway/crash_message.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr uint32_t kMaxRequests = 64;     // of one datagram
+constexpr uint32_t kMaxRequests = 64;     // in one crash
 constexpr int64_t kMaxAgeMs = 3'600'000;  // in milliseconds
 
 }  // namespace
@@ -41,7 +41,7 @@
   uint8_t version = kVersion;
   archive(version);
   if (version != kVersion) {
-    throw cereal::Exception("a version that is not known");
+    throw cereal::Exception("unknown message version");
   }
   archiveList(archive, message.crashes, kMaxListed);
   archiveList(archive, message.cleared, kMaxListed);
--- a/src/gateway/crash_message.h
+++ b/src/gateway/crash_message.h
@@ -1,4 +1,4 @@
-// What gateways tell each other of requests that end servers. One datagram, encoded by cereal.
+// Message between gateways about requests that crash servers. One datagram, encoded by cereal.
 #pragma once
 
 #include <cstddef>
@@ -12,20 +12,20 @@
 
 namespace quincewick::gateway {
 
-// Lists that have nothing to tell are empty.
+// Any of the lists may be empty.
 struct CrashMessage {
   std::vector<forwarding::ServerEnd> crashes;
-  std::vector<forwarding::RequestIdentity> cleared;    // served whole at the sender, though charged
+  std::vector<forwarding::RequestIdentity> cleared;    // suspects that the sender served completely
   std::vector<forwarding::BlamedRequest> quarantined;  // to be rejected
 
   bool isEmpty() const { return crashes.empty() && cleared.empty() && quarantined.empty(); }
 };
 
-// Requests that one datagram holds beside the message's frame, at 17 bytes each; an end counts as two.
+// Requests that fit into one datagram beside the message's frame, at 17 bytes each; a crash counts as two.
 inline constexpr size_t kCrashMessageCapacity = 56;
 
 std::string encodeCrashMessage(const CrashMessage& message);
-// Decodes untrusted bytes. Errors: kInvalidArgument, also for another version than the one that is known.
+// Decodes untrusted bytes. Errors: kInvalidArgument, also for an unknown version.
 Result<CrashMessage> decodeCrashMessage(std::string_view bytes);
 
 }  // namespace quincewick::gateway
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -18,10 +18,10 @@
 constexpr absl::Duration kMinTimeToSend = absl::Milliseconds(15);
 constexpr uint32_t kLowestPriority = 9;
 constexpr int kBadGateway = 502;
-// Between looks whether a request that waits may be sent.
+// Between checks whether a waiting request may be sent.
 constexpr absl::Duration kCrashCheckInterval = absl::Milliseconds(10);
-// What is found of an end is known within 0.4 s. Beyond that a request waits for the runs of other suspects,
-// of which there are many where servers fall all the time: then it goes beside them.
+// A crash is attributed within 0.4 s. Beyond that the request would wait for other suspects to finish, of
+// which there are many while servers crash continuously; it is then sent alongside them.
 constexpr absl::Duration kMaxCrashWait = absl::Seconds(1);
 constexpr std::string_view kCrashesServers = "ends_servers";
 
@@ -96,8 +96,7 @@
   return mayReachServers();
 }
 
-// Asked before each send, for what is known of a request outlives its arrivals: it may have ended servers
-// through other gateways while this one chose.
+// Checked before each send: the request may have crashed servers through other gateways since its arrival.
 bool Exchange::mayReachServers() {
   const absl::Time now = reactor::steadyNow();
   switch (core_.crash_detector->verdictOn(identity_)) {
@@ -123,7 +122,8 @@
   return true;
 }
 
-// Neither "it has not run", nor a time to come back: it would end the next servers.
+// The response neither says that the request did not run nor has a Retry-After: a retry would crash the next
+// servers.
 void Exchange::rejectForCrashes() {
   if (is_head_forwarded_ || has_failure_) {
     giveUp(false, kCrashesServers);
@@ -138,7 +138,7 @@
   if (has_waited && !maySend()) {
     return;
   }
-  // It may have left, or asked for rest, while the keeper of its books was asked.
+  // The server may have left or asked for a back-off period while the owner of its occupancy was queried.
   if (!server_->mayReceive(now) || !mayStillUseServer()) {
     releaseServer();
     tryNext();
@@ -160,7 +160,7 @@
   sendAttempt();
 }
 
-// A tenant's urgency goes before the route's.
+// A tenant's urgency overrides the route's.
 uint32_t Exchange::enginePriority() const {
   const uint32_t urgency = tenant_ != nullptr && tenant_->urgency ? *tenant_->urgency : route_->urgency;
   if (core_.settings.placement.late_within_class) {
@@ -170,13 +170,13 @@
 }
 
 bool Exchange::mayRepeat(absl::Time now) {
-  const bool may = core_.budget.tryRepeat(service_);
+  const bool is_allowed = core_.budget.tryRepeat(service_);
   core_.log.event("repeat", now)
       .with("request", facts_.attempt_id)
       .with("service", service_.value())
-      .with("done", may ? "true" : "false")
+      .with("done", is_allowed ? "true" : "false")
       .with("left", static_cast<int64_t>(core_.budget.left(service_)));
-  return may;
+  return is_allowed;
 }
 
 bool Exchange::chooseTarget() {
@@ -207,7 +207,7 @@
   is_buffering_ = true;
   buffered_body_.clear();
   events_ = {};
-  // What gives way waits behind all others: to them it is no work until it has begun.
+  // A request that yields queues behind all others, so it adds no load for them until it starts.
   is_prompt_read_ = false;
   attempt_last_piece_ = absl::InfinitePast();
   attempt_pieces_ = 0;
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -1,5 +1,5 @@
-// One caller's request, from its whole reading to its final answer: route, key, attempts, and what is passed
-// on.
+// Handles one caller's request from its complete receipt to the final response: route and key checks, limits,
+// choice of a server, attempts, and forwarding of the response.
 #pragma once
 
 #include <absl/time/time.h>
@@ -27,11 +27,11 @@
   Exchange(Core& core, BackEndPool& pool, HttpHead head, std::string body, ResponseSink* sink);
   ~Exchange() override;
 
-  // Decides on the request; the answer may be given before this returns.
+  // Starts processing. The response may be sent before this returns.
   void begin();
-  // The caller left: work that nobody waits for is ended, but for what must not be broken off.
+  // Cancels the work, except an attempt of a request that may run only once: it goes on without its caller.
   void onCallerDisconnected();
-  // The caller has taken all that was sent.
+  // All bytes sent so far have been written to the caller's socket: resumes reading from the server.
   void onCallerDrained();
 
  private:
@@ -42,17 +42,17 @@
   void onResponseEnd() override;
   void onResponseBroken() override;
 
-  // What a server's answer is worth, by its head.
+  // How a server's response is treated, decided by its head.
   enum class Verdict : uint8_t { kForward, kRefused, kFailed, kBroken };
 
-  // When a caller whose request was not run may come again.
+  // Least Retry-After for a request that was not run.
   static constexpr absl::Duration kRetryAfter = absl::Milliseconds(250);
   static constexpr std::string_view kNoServer = "no_server";
 
   bool admit();
   void rejectUnknown(int status, std::string_view why);
   void noteConfigurationAge();
-  // Of the configuration that decides on the request; 0: none is known.
+  // Version of the configuration that applies to the request; 0 if there is none.
   int64_t configurationVersion() const;
   quota::LimitName limitName() const;
   void requestQuota();
@@ -62,8 +62,7 @@
   void chooseService();
   void tryNext();
   bool maySend();
-  // Whether the request may reach a server, as far as ends of servers under it go; else it waits or is
-  // rejected.
+  // Whether server crashes attributed to the request let it be sent now. Otherwise it waits or is rejected.
   bool mayReachServers();
   void rejectForCrashes();
   void reserveSlot();
@@ -73,7 +72,7 @@
   void releaseRate();
   absl::Duration retryAfter() const;
   void sendToChosenServer();
-  // Whether the site's budget lets the request go to a further server; it is counted if so.
+  // Takes one retry from the site's retry budget; false if none is left.
   bool mayRepeat(absl::Time now);
   bool chooseTarget();
   using Servers = std::vector<forwarding::ServerDirectory::ServerPointer>;
@@ -114,7 +113,7 @@
   std::string body_;
   ResponseSink* sink_;
   std::shared_ptr<const forwarding::SiteConfiguration> configuration_;
-  absl::Duration configuration_age_;  // when the request came
+  absl::Duration configuration_age_;  // at the request's arrival
   const forwarding::Route* route_ = nullptr;
   const forwarding::Tenant* tenant_ = nullptr;
   forwarding::RequestFacts facts_;
@@ -124,62 +123,62 @@
   absl::Time began_;
   absl::Time deadline_ = absl::InfiniteFuture();
   reactor::TimerQueue::Key deadline_timer_;
-  reactor::TimerQueue::Key crash_timer_;                 // while it waits for what is found of a server's end
-  absl::Time crash_wait_ends_ = absl::InfiniteFuture();  // once it has begun
-  std::vector<uint64_t> tried_;                          // identity hashes of servers
+  reactor::TimerQueue::Key crash_timer_;                 // set while the request waits for a crash verdict
+  absl::Time crash_wait_ends_ = absl::InfiniteFuture();  // finite once the wait has begun
+  std::vector<uint64_t> tried_;                          // identity hashes of the servers of earlier attempts
 
   // The tenant's limit.
-  std::optional<uint64_t> pending_quota_;  // while its keeper is asked
+  std::optional<uint64_t> pending_quota_;  // request to the limit's owner that is in flight
   bool is_quota_decided_ = false;
-  absl::Duration quota_wait_;  // until it was
-  double quota_cost_ = 0;      // what was granted, in the limit's unit
-  NodeId quota_owner_;         // by whom
+  absl::Duration quota_wait_;  // from arrival to the decision
+  double quota_cost_ = 0;      // granted amount, in the limit's unit
+  NodeId quota_owner_;         // node that granted it
 
-  // The version of the servers that this attempt may go to, where versions are moved in stages.
+  // Software version of the servers that this attempt may use, if the site stages rollouts.
   std::optional<SoftwareVersion> software_;
   Servers servers_of_software_;
-  std::optional<RolloutExchange::End> rollout_end_;  // while an attempt counts as under way
-  bool was_busy_ = false;                            // its server, when it was sent there
+  std::optional<RolloutExchange::End> rollout_end_;  // set while the attempt is counted as in progress
+  bool was_busy_ = false;  // over half of the server's slots were in use when it was sent
 
-  // The attempt under way.
+  // The current attempt.
   forwarding::ServerDirectory::ServerPointer server_;
   std::optional<forwarding::EngineChoice> engine_;
-  std::optional<uint64_t> pending_reservation_;  // while the keeper of the engine's books is asked
-  uint32_t reservation_turn_ = 0;                // counts these questions
+  std::optional<uint64_t> pending_reservation_;  // request to the owner of the engine's occupancy
+  uint32_t reservation_turn_ = 0;                // counts these requests
   bool has_reservation_response_ = false;
   uint32_t reservations_requested_ = 0;                   // for this attempt
-  bool is_prompt_read_ = false;                           // its prompt, by the engine under way
-  absl::Time attempt_last_piece_ = absl::InfinitePast();  // its last one
+  bool is_prompt_read_ = false;                           // prefill is done at the current engine
+  absl::Time attempt_last_piece_ = absl::InfinitePast();  // time of its latest piece
   uint32_t attempt_pieces_ = 0;
-  absl::Duration attempt_longest_pause_ = absl::ZeroDuration();  // between its pieces, the longest
-  std::optional<Reservation> reservation_;                       // that is held
-  forwarding::ServerLoad counted_;                               // as this attempt counts at the server
-  std::optional<uint64_t> pending_rate_;  // while the keeper of the server's rate is asked
-  uint32_t rate_turn_ = 0;                // counts these questions
+  absl::Duration attempt_longest_pause_ = absl::ZeroDuration();  // longest gap between its pieces
+  std::optional<Reservation> reservation_;                       // the slot held at the engine
+  forwarding::ServerLoad counted_;                               // this attempt's share of the server's load
+  std::optional<uint64_t> pending_rate_;  // request to the owner of the server's rate limit
+  uint32_t rate_turn_ = 0;                // counts these requests
   bool has_rate_decision_ = false;
   uint32_t rates_requested_ = 0;         // for this attempt
-  std::optional<RateGrant> rate_grant_;  // until the request is sent
+  std::optional<RateGrant> rate_grant_;  // held until the request is sent
   std::unique_ptr<Attempt> attempt_;
-  bool is_at_server_ = false;  // it was sent there, and is not known to be over
+  bool is_at_server_ = false;  // sent, and not known to have ended there
   absl::Time attempt_began_;
-  absl::Duration predicted_first_piece_;  // of the first try: until its first piece
-  bool yields_ = false;                   // it is expected too late anyway: more punctual ones go before it
+  absl::Duration predicted_first_piece_;  // from arrival to the first piece, for the first attempt
+  bool yields_ = false;                   // predicted to miss its target latency: runs at lower priority
   Verdict verdict_ = Verdict::kBroken;
   HttpHead response_head_;
   std::optional<uint64_t> response_length_;
-  std::string buffered_body_;  // of an answer that is passed on once it is whole
+  std::string buffered_body_;  // of a response that is forwarded once complete
   bool is_buffering_ = true;
-  bool has_failure_ = false;  // the last attempt's answer is a failure that may be passed on
+  bool has_failure_ = false;  // the last response is a failure that may be forwarded
   forwarding::EventSplitter events_;
 
-  // Of the answer to the caller.
+  // The response to the caller.
   bool is_head_forwarded_ = false;
   std::optional<uint64_t> last_event_;
-  absl::Time first_piece_ = absl::InfiniteFuture();  // when the first one was passed on
+  absl::Time first_piece_ = absl::InfiniteFuture();  // when the first piece was forwarded
   absl::Time last_piece_ = absl::InfinitePast();
-  absl::Duration longest_pause_ = absl::ZeroDuration();  // between pieces
+  absl::Duration longest_pause_ = absl::ZeroDuration();  // longest gap between pieces
   bool is_done_ = false;
-  std::shared_ptr<Exchange> keep_alive_;  // while it goes on without its caller
+  std::shared_ptr<Exchange> keep_alive_;  // set while it runs on without its caller
 };
 
 }  // namespace quincewick::gateway
--- a/src/gateway/exchange_admission.cc
+++ b/src/gateway/exchange_admission.cc
@@ -1,4 +1,4 @@
-// What a request is admitted by: the configuration in force, its route and its key.
+// Admission of a request: the configuration in force, its route, its key and its deadline.
 #include <algorithm>
 #include <cmath>
 
@@ -7,7 +7,7 @@
 namespace quincewick::gateway {
 namespace {
 
-constexpr double kGoldenRatioConjugate = 0.6180339887498949;  // spreads a counter evenly over 0 to 1
+constexpr double kGoldenRatioConjugate = 0.6180339887498949;  // multiples mod 1 spread evenly over [0, 1)
 constexpr int kUnauthorized = 401;
 constexpr int kNotFound = 404;
 constexpr int kUnavailable = 503;
@@ -26,7 +26,7 @@
   return configuration_ == nullptr ? 0 : static_cast<int64_t>(configuration_->version().value());
 }
 
-// An outdated configuration may lack what was added since: callers come back then.
+// An outdated configuration may lack a new route or key, so the caller is told to retry.
 void Exchange::rejectUnknown(int status, std::string_view why) {
   if (core_.configurationIsCurrent(began_)) {
     reject(status, why, kRetryAfter);
@@ -90,13 +90,13 @@
   for (const forwarding::ServiceShare& share : route_->shares) {
     sum += share.weight;
   }
-  double place = 0;
-  std::modf(static_cast<double>(++core_.split_counter) * kGoldenRatioConjugate, &place);
-  double rest = (static_cast<double>(core_.split_counter) * kGoldenRatioConjugate - place) * sum;
+  double integer_part = 0;
+  std::modf(static_cast<double>(++core_.split_counter) * kGoldenRatioConjugate, &integer_part);
+  double remaining = (static_cast<double>(core_.split_counter) * kGoldenRatioConjugate - integer_part) * sum;
   for (const forwarding::ServiceShare& share : route_->shares) {
     service_ = share.service;
-    rest -= share.weight;
-    if (rest < 0) {
+    remaining -= share.weight;
+    if (remaining < 0) {
       break;
     }
   }
--- a/src/gateway/exchange_placement.cc
+++ b/src/gateway/exchange_placement.cc
@@ -1,4 +1,4 @@
-// A request's engine, and its place there.
+// Choice of an engine for a request, and the reservation of a slot there.
 #include <limits>
 #include <utility>
 #include <vector>
@@ -36,8 +36,8 @@
   return true;
 }
 
-// What this gateway knows of others' work at an engine is old: whoever keeps the engine's books knows better.
-// The last of some engines is taken as it is.
+// This gateway's view of the engine's load from other gateways is stale; the owner of the engine's occupancy
+// has a fresher one. The last of kMaxReservationsPerAttempt engines is reserved whatever its load.
 void Exchange::reserveSlot() {
   ++reservations_requested_;
   const double most = reservations_requested_ < kMaxReservationsPerAttempt
@@ -50,9 +50,9 @@
                                                              const auto self = shared_from_this();
                                                              onReservationResponse(response);
                                                            });
-  // An engine whose books are kept here answers at once, and so the next one may have been asked meanwhile:
-  // its question is the one to forget when this request ends. Else its answer came to a request that was
-  // gone, and ended the process.
+  // If this gateway owns the engine's occupancy, the response comes within the call, and a request for the
+  // next engine may already be pending: that one must be cancelled when this exchange ends. Otherwise its
+  // response would reach a destroyed exchange and crash the process.
   const bool is_open = turn == reservation_turn_ && !has_reservation_response_;
   if (is_open) {
     pending_reservation_ = request_number;
@@ -86,7 +86,7 @@
   }
 }
 
-// What gave way has begun: from now on it takes a place like any other.
+// A request that yielded has started and now occupies a slot like any other.
 void Exchange::reserveStarted() {
   constexpr double no_limit = std::numeric_limits<double>::infinity();
   has_reservation_response_ = false;
--- a/src/gateway/exchange_quota.cc
+++ b/src/gateway/exchange_quota.cc
@@ -1,4 +1,4 @@
-// A request and its tenant's limit.
+// Acquires and refunds a request's share of its tenant's limit.
 #include <utility>
 
 #include "gateway/exchange.h"
@@ -14,7 +14,7 @@
   return quota::LimitName(tenant_->id.value());
 }
 
-// Nothing is sent to any server before the tenant's limit allows it.
+// No server gets the request before the tenant's limit allows it.
 void Exchange::requestQuota() {
   if (tenant_ == nullptr || !tenant_->limit) {
     tryNext();
@@ -47,7 +47,7 @@
   tryNext();
 }
 
-// At the request's end: an open question is dropped, and what was granted for nothing is given back.
+// At the request's end: cancels a pending acquisition, and refunds a grant if the request did not run.
 void Exchange::releaseQuota() {
   if (pending_quota_) {
     core_.quotas->cancel(*std::exchange(pending_quota_, std::nullopt));
--- a/src/gateway/exchange_rate.cc
+++ b/src/gateway/exchange_rate.cc
@@ -1,4 +1,4 @@
-// A request and the rates that servers named.
+// Acquires and refunds a request's share of the rate limit that a server reported.
 #include <algorithm>
 #include <utility>
 
@@ -8,7 +8,7 @@
 namespace quincewick::gateway {
 namespace {
 
-constexpr uint32_t kMaxRateRequestsPerAttempt = 8;  // servers for one attempt: each takes a round trip
+constexpr uint32_t kMaxRateRequestsPerAttempt = 8;  // servers tried per attempt; each costs a round trip
 
 }  // namespace
 
@@ -20,7 +20,8 @@
     const auto self = shared_from_this();
     onRateDecision(decision);
   });
-  // A keeper in this process answers at once, and the next server may have been asked meanwhile.
+  // If this gateway owns the rate limit, the decision comes within the call, and a request for the next
+  // server may already be pending.
   const bool is_open = turn == rate_turn_ && !has_rate_decision_;
   if (is_open) {
     pending_rate_ = request_number;
@@ -45,7 +46,7 @@
   }
 }
 
-// At the end of an attempt: an open question is dropped, and what was granted for nothing is given back.
+// At the end of an attempt: cancels a pending acquisition, and refunds a grant that was not used.
 void Exchange::releaseRate() {
   if (pending_rate_) {
     core_.server_rates->cancel(*std::exchange(pending_rate_, std::nullopt));
@@ -55,7 +56,8 @@
   }
 }
 
-// Where every server of the service is held back by its own word, the time until the first one is free.
+// Time until the first server is free if all servers of the service asked for a limit or a back-off period;
+// at least kRetryAfter.
 absl::Duration Exchange::retryAfter() const {
   const absl::Time now = reactor::steadyNow();
   const absl::Time free_at = forwarding::firstFree(core_.directory.ofService(service_), now);
--- a/src/gateway/exchange_response.cc
+++ b/src/gateway/exchange_response.cc
@@ -1,4 +1,4 @@
-// The answers of servers as they come, and what of them goes on to the caller.
+// Handles servers' responses and forwards them to the caller.
 #include <algorithm>
 #include <utility>
 
@@ -12,9 +12,10 @@
 using forwarding::RepeatKind;
 using forwarding::ServerDirectory;
 
-constexpr size_t kMaxBufferedBytes = 262144;  // a longer answer is passed on as it comes
-constexpr size_t kMaxUnsentBytes = 262144;    // of a slow caller
-// A stream of fewer pieces seldom meets the moments that make pauses, such as the reading of a long prompt.
+constexpr size_t kMaxBufferedBytes = 262144;  // a longer response is streamed
+constexpr size_t kMaxUnsentBytes = 262144;    // to a slow caller, before reading pauses
+// A stream of fewer pieces rarely overlaps with events that cause pauses, such as the prefill of a long
+// prompt.
 constexpr uint32_t kMinPiecesForPauses = 4;
 constexpr double kRefusalWeight = 0.5;
 constexpr double kFailureWeight = 0.5;
@@ -34,7 +35,7 @@
     return Verdict::kBroken;
   }
   if (forwarding::promisesNotRun(head.status)) {
-    return Verdict::kFailed;  // without the server's word the promise can't be passed on
+    return Verdict::kFailed;  // not confirmed by the server, so it can't be forwarded as "not run"
   }
   if (head.status >= kFirstServerError && ledger_.execution() != Execution::kNotRun &&
       route_->mayRunAgain()) {
@@ -75,7 +76,7 @@
   }
 }
 
-// Only whole events go on, each once: what a server broke off in the middle is not seen by the caller.
+// Forwards only complete events, each once: an event that a server truncated never reaches the caller.
 void Exchange::forwardEvents(std::string_view bytes) {
   std::string out;
   for (const forwarding::StreamEvent& event : events_.take(bytes)) {
@@ -98,7 +99,7 @@
   }
 }
 
-// The engine has read the prompt, and the request has a slot.
+// Prefill is done, and the request has a slot.
 void Exchange::onPromptRead() {
   server_->own.prefill_tokens -= std::min(server_->own.prefill_tokens, counted_.prefill_tokens);
   counted_.prefill_tokens = 0;
@@ -133,8 +134,8 @@
   }
 }
 
-// Of the attempt under way, with the one that lasts: an engine that fell silent ends no pause. Zero where it
-// had too few pieces to tell of the engine.
+// Longest gap of the current attempt, including the one still open, since an engine that went silent never
+// closes its gap. Zero if the attempt had too few pieces to characterize the engine.
 absl::Duration Exchange::longestPauseNow() const {
   if (attempt_pieces_ < kMinPiecesForPauses) {
     return absl::ZeroDuration();
@@ -173,7 +174,7 @@
       return;
     }
     is_buffering_ = false;
-    verdict_ = Verdict::kForward;  // too long to be kept for another decision
+    verdict_ = Verdict::kForward;  // too long to buffer, so no other verdict is possible
     bytes = std::exchange(buffered_body_, std::string());
     forwardHead();
   }
@@ -214,8 +215,8 @@
   complete("answered");
 }
 
-// A failure that is passed on, for the request may not run again, is a failure all the same: counted as a
-// quick answer, it drew all further requests to its server.
+// A 5xx response that is forwarded because the request may not run again still counts as a failure. Counted
+// as a fast response, it attracted all further requests to its server.
 void Exchange::recordServerResult(absl::Time now) {
   if (response_head_.status >= kFirstServerError) {
     noteRolloutEnd(RolloutExchange::End::kFailed);
@@ -231,10 +232,10 @@
   if (sink_ == nullptr) {
     return;
   }
-  const std::string& rest =
+  const std::string& remaining =
       route_->kind == RepeatKind::kStream && buffered_body_.empty() ? events_.rest() : buffered_body_;
-  if (!rest.empty()) {
-    sink_->sendBody(rest);
+  if (!remaining.empty()) {
+    sink_->sendBody(remaining);
   }
 }
 
--- a/src/gateway/exchange_rollout.cc
+++ b/src/gateway/exchange_rollout.cc
@@ -1,4 +1,4 @@
-// A request and the software versions of its service.
+// Choice of a software version of the service for a request, and its outcome for the rollout.
 #include <absl/random/distributions.h>
 
 #include <utility>
@@ -13,8 +13,8 @@
 
 }  // namespace
 
-// Requests of one prompt go to the same version, so that its shared parts are read once on either side. The
-// first part may be common to all; the last shared one tells prompts apart.
+// In [0, 1]: requests with the same prompt get the same version, so that the shared prefix is prefilled once
+// per variant. The first block may be common to all prompts; the last shared one distinguishes them.
 double Exchange::promptFraction() const {
   constexpr size_t own_and_shared = 2;
   if (facts_.prompt.size() < own_and_shared) {
@@ -37,7 +37,7 @@
   if (chooseServerAmong(servers_of_software_, now)) {
     return true;
   }
-  // The target may have no server that takes work yet.
+  // The target version may have no server that accepts requests yet.
   software_ = core_.rollouts->choose({service_, route_->name, 1.0, true});
   if (!software_) {
     return false;
@@ -46,7 +46,7 @@
   return chooseServerAmong(servers_of_software_, now);
 }
 
-// The rollout may have gone on while the keeper of the engine's books was asked.
+// The rollout may have advanced while the owner of the engine's occupancy was queried.
 bool Exchange::mayStillUseServer() const {
   return core_.rollouts == nullptr || core_.rollouts->mayUse(*server_);
 }
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr absl::Duration kTickInterval = absl::Milliseconds(200);
-// Callers' entry asks each second and takes a gateway out after two answers that it is not ready. What still
-// comes after that is told at once to go elsewhere.
+// The load balancer checks readiness each second and removes a gateway after two checks that fail. Requests
+// that still arrive after that are rejected at once.
 constexpr absl::Duration kMinStopTime = absl::Milliseconds(2600);
 constexpr absl::Duration kStopMargin = absl::Milliseconds(400);
 constexpr int kOk = 200;
@@ -66,7 +66,7 @@
   const bool are_bound = caller_listener_->isListening() && readiness_server_->isListening() &&
                          (metrics_server_ == nullptr || metrics_server_->isListening());
   if (!are_bound) {
-    return fail(ErrorCode::kUnavailable, "an address to listen at can't be bound");
+    return fail(ErrorCode::kUnavailable, "cannot bind a listen address");
   }
   core_.log.event("start", reactor::steadyNow()).with("zone", core_.settings.zone.value());
   awaitSignal();
@@ -98,7 +98,7 @@
   }
   peers_.setReading([this] { return follower_.readsWell(); }, [this] { return follower_.seeksReader(); });
   if (relay_.listen(*core_.settings.listen.peers)) {
-    core_.settings.listen.peers->port = relay_.port();  // digests come to the same number
+    core_.settings.listen.peers->port = relay_.port();  // digests arrive at the same port number
   } else {
     core_.log.event("relay_unheard", reactor::steadyNow());
   }
@@ -119,7 +119,7 @@
 
 void Gateway::acceptCaller(reactor::Connection::Socket socket) {
   if (connections_.size() >= core_.settings.connections_at_most) {
-    return;  // closed before a byte of it is read
+    return;  // closes the socket unread
   }
   auto connection = std::make_shared<CallerConnection>(
       core_, pool_, std::move(socket), [this](CallerConnection* closed) { connections_.erase(closed); });
@@ -169,7 +169,7 @@
   });
 }
 
-// A file that can't be read changes nothing: the process goes on with what it has.
+// If the file can't be read, the current settings stay in force.
 void Gateway::reload() {
   const std::optional<GatewaySettings> settings = reload_ ? reload_() : std::nullopt;
   core_.log.event("reload", reactor::steadyNow()).with("done", settings ? "true" : "false");
@@ -205,7 +205,8 @@
   core_.timers.schedule(now + kTickInterval, [this] { onTick(); });
 }
 
-// What is in hand is served to the end of the grace; idle connections stay until the entry has looked away.
+// Requests in progress are served until the end of the grace period; idle connections stay open until the
+// load balancer has removed this gateway.
 void Gateway::checkStopped() {
   const absl::Duration stopping = reactor::steadyNow() - stop_began_;
   const bool grace_is_over = stopping >= core_.settings.bounds.stop_grace - kStopMargin;
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,5 +1,5 @@
-// One gateway process: takes callers' connections, answers whether it is ready, follows the store, and stops
-// in good order. All of it runs on the thread that calls `run`.
+// A gateway process: accepts callers' connections, serves readiness and metrics, follows the store, and shuts
+// down gracefully. Everything runs on the thread that calls `run`.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -32,26 +32,25 @@
 
 class Gateway {
  public:
-  // `log_descriptor`: where lines of the log go; -1: nowhere.
+  // `log_descriptor`: file descriptor for log lines; -1: no log.
   Gateway(GatewaySettings settings, std::unique_ptr<forwarding::Dialect> dialect, int log_descriptor);
   ~Gateway();
 
-  // Binds its addresses. Errors: kUnavailable.
+  // Binds the addresses and starts all parts. Errors: kUnavailable.
   Result<void> start();
-  // Serves until a signal to stop has been carried out.
+  // Serves until a graceful stop, requested by a signal, is complete.
   void run();
-  // Ends `run` soon; for tests.
+  // Makes `run` return without a graceful stop; for tests.
   void stop() { core_.reactor.stop(); }
-  // Begins the planned stop, as the signal does. From any thread.
+  // Starts the graceful stop, as SIGTERM does. Callable from any thread.
   void stopGracefully();
-  // Where the settings come from when the signal to reload comes: nothing while they can't be read. Set
-  // before `run`.
+  // Reads the settings on SIGHUP; returns nothing if they can't be read. Set before `run`.
   using Reload = std::function<std::optional<GatewaySettings>()>;
   void setReload(Reload reload) { reload_ = std::move(reload); }
 
   uint16_t callersPort() const { return caller_listener_->port(); }
   uint16_t readinessPort() const { return readiness_server_->port(); }
-  // 0: it tells no metrics.
+  // 0: metrics are not served.
   uint16_t metricsPort() const { return metrics_server_ == nullptr ? 0 : metrics_server_->port(); }
   bool isReady() const;
 
--- a/src/gateway/gateway_metrics.cc
+++ b/src/gateway/gateway_metrics.cc
@@ -143,7 +143,7 @@
   attempts_.Add({{"end", nameOf(end)}}).Increment();
 }
 
-// As many series as the configuration has routes.
+// One time series for each route of the configuration.
 void GatewayMetrics::observeForecast(std::string_view route, absl::Duration error) {
   forecast_.Add({{"route", std::string(route)}}, latencyBuckets())
       .Observe(absl::ToDoubleSeconds(absl::AbsDuration(error)));
--- a/src/gateway/gateway_metrics.h
+++ b/src/gateway/gateway_metrics.h
@@ -1,4 +1,4 @@
-// Counts of what a gateway did, as Prometheus reads them. Labels have few values, whatever callers send.
+// A gateway's metrics in Prometheus' format. Label values are bounded, whatever callers send.
 #pragma once
 
 #include <absl/time/time.h>
@@ -22,9 +22,9 @@
  public:
   GatewayMetrics();
 
-  // A request came to its end. `kind`: nothing where no route was found.
+  // A request ended. `kind`: empty if no route was found.
   void countRequest(std::optional<forwarding::RepeatKind> kind, std::string_view outcome);
-  // How old the configuration was that a request was decided by, and whether it was past its bound.
+  // Age of the configuration that applied to a request. `is_current`: the age was within its bound.
   void observeConfigurationAge(absl::Duration age, bool is_current);
   // This gateway asked the store itself whether its configuration is the newest.
   void countConfirmation(bool is_answered);
@@ -35,27 +35,27 @@
   void countTruncated() { responses_truncated_->Increment(); }
   void countRefusedDatagram() { datagrams_refused_->Increment(); }
   void countStoreWentBack() { store_went_back_->Increment(); }
-  // A request goes to a side of a rollout, or to the only version there is.
+  // A request goes to a variant of a rollout, or to the only version there is.
   void countRolloutRequest(staged_rollout::Side side) {
     (side == staged_rollout::Side::kTarget ? to_target_ : to_base_)->Increment();
   }
-  // A server asked something of its callers in an answer, or no longer does.
+  // A server's back pressure changed. `change`: value of the label.
   void countBackPressure(std::string_view change);
-  // The keeper of a server's rate decided on a request.
+  // The owner of a server's rate limit decided on a request.
   void countRateDecision(bool is_granted);
   void countServerCrash() { server_crashes_->Increment(); }
-  // An end of a server that too many others crowd out is not told to peers.
+  // A server crash was not reported to peers because too many others were pending.
   void countUnreportedCrash() { crashes_unreported_->Increment(); }
-  // A row that others wrote can't be used.
+  // A row of the store can't be used.
   void countRefusedRow(std::string_view table);
   void countPromptTokens(uint64_t cached, uint64_t fetched, uint64_t prefilled);
   void observeFirstPiece(absl::Duration time) { first_piece_seconds_->Observe(absl::ToDoubleSeconds(time)); }
-  // How far a first piece came from its forecast, by route.
+  // Difference between a first piece's predicted and actual time.
   void observeForecast(std::string_view route, absl::Duration error);
   void observeResponse(absl::Duration time) { answer_seconds_->Observe(absl::ToDoubleSeconds(time)); }
   void observeStoreCall(absl::Duration time) { store_call_seconds_->Observe(absl::ToDoubleSeconds(time)); }
 
-  // What is as of now, set just before it is told.
+  // Current values, set just before they are printed.
   struct Gauges {
     double configuration_version = 0;
     double configuration_age_seconds = 0;
@@ -72,7 +72,7 @@
     double requests_under_way = 0;
     double log_lines_dropped = 0;
   };
-  // All figures in Prometheus' text format.
+  // All metrics in Prometheus' text format.
   std::string print(const Gauges& gauges);
 
  private:
--- a/src/gateway/gateway_settings.h
+++ b/src/gateway/gateway_settings.h
@@ -1,4 +1,4 @@
-// The settings of one gateway process, from a file that is read at its start and again when it changes.
+// Settings of a gateway process, read from a file at the start and on reload.
 #pragma once
 
 #include <absl/time/time.h>
@@ -18,55 +18,53 @@
 struct GatewayListenSettings {
   Address callers;
   Address readiness;
-  std::optional<Address> peers;    // UDP, between the gateways of a site
-  std::optional<Address> metrics;  // Prometheus' text
+  std::optional<Address> peers;    // between the gateways of a site: UDP, and TCP for the row relay
+  std::optional<Address> metrics;  // Prometheus' text format
 
   friend bool operator==(const GatewayListenSettings&, const GatewayListenSettings&) = default;
 };
 
-// What the site promises, by which the gateway sets its own pace.
+// The site's guarantees, from which the gateway derives its own time limits.
 struct GatewayBounds {
-  absl::Duration key_revocation =
-      absl::Seconds(5);  // after it no request runs under a key that was taken away
+  absl::Duration key_revocation = absl::Seconds(5);  // no request is sent under a key revoked longer ago
   absl::Duration configuration_in_force =
-      absl::Seconds(5);                            // within it an acknowledged configuration is in force
-  absl::Duration server_drain = absl::Seconds(2);  // after it nothing new is sent to a server that leaves
-  absl::Duration stop_grace = absl::Seconds(8);    // from the signal to stop until the process is killed
+      absl::Seconds(5);                            // an acknowledged configuration is in force within it
+  absl::Duration server_drain = absl::Seconds(2);  // no request is sent to a server that leaves after it
+  absl::Duration stop_grace = absl::Seconds(8);    // from SIGTERM until the process is killed
   absl::Duration order_lease = absl::Seconds(3);
-  absl::Duration weights_in_force = absl::Seconds(8);  // a named version is on all engines
-  double retry_ratio = 0.2;                            // repeats for each request
-  double retry_constant = 54;                      // repeats of all gateways together, whatever the requests
-  absl::Duration limit_window = absl::Seconds(8);  // within it, tenants' limits are passed by no more than:
-  double limit_overshoot = 0.1;                    // this part of what a limit allows,
-  double limit_slack = 0;                          // and so much, in the limit's unit
+  absl::Duration weights_in_force = absl::Seconds(8);  // within it a requested version is on all engines
+  double retry_ratio = 0.2;                            // retries per request
+  double retry_constant = 54;                          // further retries, shared by all gateways
+  absl::Duration limit_window = absl::Seconds(8);      // over it, tenants' limits are exceeded by at most:
+  double limit_overshoot = 0.1;                        // this fraction of what a limit allows,
+  double limit_slack = 0;                              // plus this amount, in the limit's unit
 
   friend bool operator==(const GatewayBounds&, const GatewayBounds&) = default;
 };
 
 struct GatewaySettings {
-  NodeId gateway_id;  // unique in the site; kept over restarts
+  NodeId gateway_id;  // unique in the site; stable across restarts
   ZoneName zone;
   RegionName region;
   GatewayListenSettings listen;
   Address store;
   GatewayBounds bounds;
-  forwarding::PlacementSwitches placement;  // all on, but to measure what each is worth
-  uint32_t gateways_assumed =
-      16;  // the site is taken to have at least so many: divides what is constant for all
+  forwarding::PlacementSwitches placement;  // all on; switched off only to measure their effect
+  uint32_t gateways_assumed = 16;           // least number of gateways assumed: divides site-wide constants
   uint32_t connections_at_most = 3000;
-  bool site_is_new = false;  // all gateways start for the first time: none has a row in the store yet
-  // Of a service's requests, at most, that go to a new version of its servers before it was found good; 0:
-  // versions of servers don't matter.
+  bool site_is_new = false;  // first start of all gateways: none has a row in the store yet
+  // Largest share of a service's requests that go to a new server version before its verdict; 0: no staged
+  // rollouts.
   double rollout_share = 0;
-  double capacity = 0;  // of its machine, in any unit: in each zone the greatest reads the store first
+  double capacity = 0;  // of the machine, in any common unit: the largest of a zone is preferred as reader
 
   friend bool operator==(const GatewaySettings&, const GatewaySettings&) = default;
 };
 
-// Reads a settings file's text. All faults are listed.
+// Parses a settings file's text. All errors are reported, not only the first.
 configuration::Parsed<GatewaySettings> parseGatewaySettings(const std::string& text);
 
-// Whether a file's text is meant as a gateway's settings: it names a gateway at its top level.
+// Whether the text is a gateway's settings: it has the key `gateway_id` at the top level.
 bool looksLikeGatewaySettings(const std::string& text);
 
 }  // namespace quincewick::gateway
--- a/src/gateway/occupancy_exchange.cc
+++ b/src/gateway/occupancy_exchange.cc
@@ -7,14 +7,13 @@
 namespace quincewick::gateway {
 namespace {
 
-// How long a keeper's answer is awaited: it takes 2 ms at the median and 15 ms for 99 in 100 on a site of 79
-// gateways, and a request that gets none goes on by what this gateway knows itself.
+// An owner's response takes 2 ms at the median and 15 ms at the 99th percentile on a site of 79 gateways.
+// Without a response, the request proceeds with this gateway's own view of the engine.
 constexpr absl::Duration kResponseTimeout = absl::Milliseconds(25);
-constexpr absl::Duration kHeartbeatInterval =
-    absl::Milliseconds(250);  // between looks at who the gateways are
+constexpr absl::Duration kHeartbeatInterval = absl::Milliseconds(250);  // between updates of the members
 constexpr absl::Duration kProbeInterval = absl::Milliseconds(500);
-// Peers are told again of what an engine can do once it changed by a fifth, and twice within the time for
-// which they hold what was told: a digest may be lost.
+// A capability is reported to peers again after a change by a fifth, and twice within the time for which they
+// keep a report, since a digest may be lost.
 constexpr double kReportThreshold = 0.2;
 constexpr absl::Duration kReportRepeatInterval = absl::Milliseconds(1500);
 constexpr absl::Duration kMinReportInterval = absl::Milliseconds(250);
@@ -66,8 +65,8 @@
   return number;
 }
 
-// Asks those that rank before the keeper and are suspected to be down whether they are back: for a place that
-// no engine has.
+// Checks whether nodes that rank before the owner and are suspected to be down are back, by a reservation
+// that no engine can grant.
 void OccupancyExchange::probe(const std::vector<NodeId>& nodes, OccupancyMessage request) {
   request.max_load_seconds = -1;
   const absl::Time now = reactor::steadyNow();
@@ -91,7 +90,7 @@
   return response;
 }
 
-// What other gateways told in turns counts only as long as the books are new.
+// Load that peers reported in their digests counts only while the own occupancy is still incomplete.
 OccupancyMessage OccupancyExchange::handleReserve(const NodeId& from, const OccupancyMessage& request) {
   const absl::Time now = reactor::steadyNow();
   forwarding::ServerLoad load = occupancy_.at(request.engine, now);
@@ -125,7 +124,7 @@
   return response;
 }
 
-// What this gateway learnt of an engine goes to itself at once, and to peers with the next digests.
+// Applies an engine's measured capability here at once, and queues it for the next digests to peers.
 void OccupancyExchange::reportCapability(uint64_t engine, const forwarding::EngineCapability& capability,
                                          absl::Time now) {
   if (const auto server = core_.directory.findByHash(engine)) {
@@ -175,7 +174,7 @@
   const auto found = pending_requests_.find(response.number);
   if (found == pending_requests_.end() || found->second.owner != from) {
     if (reservation_response.is_reserved) {
-      release(reservation_response.reservation);  // it came too late
+      release(reservation_response.reservation);  // the response came too late
     }
     return;
   }
--- a/src/gateway/occupancy_exchange.h
+++ b/src/gateway/occupancy_exchange.h
@@ -1,4 +1,5 @@
-// Reserves places at engines with the gateways that keep their books, and keeps those of some engines itself.
+// Reserves slots at engines with the gateways that own the engines' occupancy, and serves reservations for
+// the engines whose occupancy this gateway owns.
 #pragma once
 
 #include <absl/container/btree_map.h>
@@ -19,7 +20,7 @@
 
 namespace quincewick::gateway {
 
-// A request's entry in the books of an engine.
+// A request's entry in an engine's occupancy.
 struct Reservation {
   uint64_t engine = 0;
   uint64_t number = 0;
@@ -28,9 +29,9 @@
 
 struct ReservationResponse {
   bool is_reserved = false;
-  std::optional<forwarding::ServerLoad> load;  // before this request; nothing: the keeper did not answer
-  forwarding::EngineCapability capability;     // of the engine, where the keeper answered
-  Reservation reservation;                     // where it is held
+  std::optional<forwarding::ServerLoad> load;  // before this request; empty: no response from the owner
+  forwarding::EngineCapability capability;     // of the engine; valid if `load` is set
+  Reservation reservation;                     // valid if `is_reserved`
 };
 
 class OccupancyExchange {
@@ -39,15 +40,15 @@
 
   void start();
 
-  // Asks for a place at an engine that has at most `max_load_seconds` of work in hand. Calls `on_response`
-  // once, perhaps before this returns. Returns the number by which to `forget` it.
+  // Requests a slot at an engine, granted if at most `max_load_seconds` of work is in progress there. Calls
+  // `on_response` once, perhaps before this returns. Returns the request number to pass to `cancel`.
   using ResponseCallback = std::function<void(const ReservationResponse& response)>;
   uint64_t reserve(const forwarding::Server& engine, uint64_t prefill_tokens, double max_load_seconds,
                    ResponseCallback on_response);
-  // Nobody waits for the answer any more: a place that is held all the same is given back.
+  // Drops the callback; a slot that is granted later is released.
   void cancel(uint64_t number) { pending_requests_.erase(number); }
   void noteRead(const Reservation& reservation);
-  // `longest_pause`: between the request's pieces; zero where it had none.
+  // `longest_pause`: longest gap between the request's pieces; zero if unknown.
   void release(const Reservation& reservation, absl::Duration longest_pause = absl::ZeroDuration());
 
  private:
@@ -75,10 +76,9 @@
   PeerExchange& peers_;
   routing::KeeperRanks ranks_;
   forwarding::OccupancyBooks occupancy_;
-  absl::btree_map<uint64_t, PendingRequest>
-      pending_requests_;  // by rising numbers, so by rising times to give up
+  absl::btree_map<uint64_t, PendingRequest> pending_requests_;  // by number, and so by deadline
   absl::btree_map<NodeId, absl::Time> probed_;
-  absl::flat_hash_map<uint64_t, forwarding::ToldCapability> reported_;  // to peers, by engine
+  absl::flat_hash_map<uint64_t, forwarding::ToldCapability> reported_;  // last report to peers, by engine
   uint64_t last_number_ = 0;
   bool has_timer_ = false;
 };
--- a/src/gateway/occupancy_messages.cc
+++ b/src/gateway/occupancy_messages.cc
@@ -7,7 +7,7 @@
 namespace quincewick::gateway {
 namespace {
 
-// A request or an engine has no more; beyond it sums might run over.
+// Above any real request or engine; larger values could overflow sums.
 constexpr uint64_t kMaxTokens = 1'000'000'000;
 
 }  // namespace
@@ -25,7 +25,7 @@
   const bool is_known =
       message.kind >= OccupancyMessageKind::kReserve && message.kind <= OccupancyMessageKind::kRelease;
   if (!is_known || std::isnan(message.max_load_seconds) || message.prefill_tokens > kMaxTokens) {
-    return fail(ErrorCode::kInvalidArgument, "a message about an engine's places of no known kind or size");
+    return fail(ErrorCode::kInvalidArgument, "occupancy message has an unknown kind or an invalid size");
   }
   const bool is_response =
       message.kind == OccupancyMessageKind::kReserved || message.kind == OccupancyMessageKind::kFull;
--- a/src/gateway/occupancy_messages.h
+++ b/src/gateway/occupancy_messages.h
@@ -1,4 +1,4 @@
-// What gateways tell the keeper of an engine's books. One datagram each, encoded by cereal.
+// Messages between gateways and the owner of an engine's occupancy. One datagram each, encoded by cereal.
 #pragma once
 
 #include <cstdint>
@@ -11,22 +11,22 @@
 namespace quincewick::gateway {
 
 enum class OccupancyMessageKind : uint8_t {
-  kReserve = 1,     // a place, if no more work than `max_load_seconds` is in hand there
-  kReserved = 2,    // it is reserved
-  kFull = 3,        // it isn't
-  kPromptRead = 4,  // the prompt was read
+  kReserve = 1,     // a slot, if at most `max_load_seconds` of work is in progress
+  kReserved = 2,    // granted
+  kFull = 3,        // denied
+  kPromptRead = 4,  // prefill is done
   kRelease = 5,     // the request ended
 };
 
 struct OccupancyMessage {
   OccupancyMessageKind kind = OccupancyMessageKind::kReserve;
-  uint64_t number = 0;          // of the asker; the answer bears the same
-  uint64_t engine = 0;          // its identity hash
-  uint32_t running = 0;         // in an answer: what was in hand before
-  uint64_t prefill_tokens = 0;  // in a question: of the request; in an answer: what was in hand before
+  uint64_t number = 0;          // chosen by the sender of the request; the response repeats it
+  uint64_t engine = 0;          // the engine's identity hash
+  uint32_t running = 0;         // in a response: running requests before this one
+  uint64_t prefill_tokens = 0;  // in a request: its own; in a response: queued before this one
   double max_load_seconds = 0;
-  CapabilityMessage capability;  // in an answer: what the engine can do
-  uint32_t pause_ms = 0;         // of a release: the request's longest pause between pieces; 0: it had none
+  CapabilityMessage capability;  // in a response: the engine's measured capability
+  uint32_t pause_ms = 0;         // in a release: longest gap between the request's pieces; 0: unknown
 
   template <class Archive>
   void serialize(Archive& archive) {
--- a/src/gateway/quota_exchange.cc
+++ b/src/gateway/quota_exchange.cc
@@ -6,7 +6,8 @@
 namespace quincewick::gateway {
 namespace {
 
-// How soon a gateway that came counts among the keepers, and how soon this one notices that it hears none.
+// Bounds how late a new gateway counts among the owners, and how late this gateway notices that it receives
+// nothing from any peer.
 constexpr absl::Duration kHeartbeatInterval = absl::Milliseconds(250);
 
 }  // namespace
@@ -79,7 +80,7 @@
 void QuotaExchange::scheduleTick() {
   const absl::Time next = quotas_.nextWakeup();
   if (next >= timer_at_) {
-    return;  // the timer that is set comes first, and looks again
+    return;  // the earlier timer reschedules
   }
   core_.timers.cancel(timer_);
   timer_at_ = next;
--- a/src/gateway/quota_exchange.h
+++ b/src/gateway/quota_exchange.h
@@ -1,5 +1,5 @@
-// Asks other gateways whether requests under a shared limit may start, and answers them, by datagrams: one of
-// these for each kind of limit.
+// Acquires shares of limits from the gateways that own the limits' accounts, and serves the accounts that
+// this gateway owns, by datagrams. There is one instance for each kind of limit.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -17,18 +17,19 @@
 
 class QuotaExchange {
  public:
-  // `module`: the messages of this kind of limit.
+  // `module`: envelope type of the messages of this kind of limit.
   QuotaExchange(Core& core, PeerDirectory& directory, PeerExchange& peers, peer::PeerModule module,
                 const quota::LimitTolerance& tolerance, quota::SharedQuotas::LimitOf limit_of,
                 quota::Unanswered unanswered = quota::Unanswered::kTakesShare);
 
   void start();
 
-  // Calls `on_decision` once, perhaps before this returns. Returns the number by which to `forget` it.
+  // Requests `cost` of the limit, in its unit. Calls `on_decision` once, perhaps before this returns. Returns
+  // the request number to pass to `cancel`.
   using DecisionCallback = std::function<void(const quota::QuotaDecision& decision)>;
   uint64_t acquire(const quota::LimitName& name, double cost, DecisionCallback on_decision);
   void cancel(uint64_t number);
-  // A request that was granted never ran.
+  // Returns a grant that was not used, as the request never ran.
   void refund(const quota::LimitName& name, double cost, const NodeId& owner);
   void setTolerance(const quota::LimitTolerance& tolerance) { quotas_.setTolerance(tolerance); }
 
--- a/src/gateway/response_sink.h
+++ b/src/gateway/response_sink.h
@@ -1,4 +1,4 @@
-// Where one request's answer goes: the caller's connection.
+// Receiver of one request's response: the caller's connection.
 #pragma once
 
 #include <cstdint>
@@ -17,15 +17,15 @@
   ResponseSink& operator=(const ResponseSink&) = delete;
   virtual ~ResponseSink() = default;
 
-  // `length`: of the body, where it is known; otherwise the body goes in chunks.
+  // `length`: body length in bytes, if known; otherwise the body is sent chunked.
   virtual void sendHead(int status, const std::string& reason, HeaderFields fields,
                         std::optional<uint64_t> length) = 0;
   virtual void sendBody(std::string_view bytes) = 0;
-  // The answer is whole.
+  // The response is complete.
   virtual void finish() = 0;
-  // The answer can't be finished: the caller sees that it is cut.
+  // The response can't be completed: closes the connection so that the caller can detect it.
   virtual void truncate() = 0;
-  // Bytes that the caller has not taken yet.
+  // Bytes not yet written to the caller's socket.
   virtual size_t unsentBytes() const = 0;
 };
 
--- a/src/gateway/server_rates.cc
+++ b/src/gateway/server_rates.cc
@@ -7,9 +7,9 @@
 namespace quincewick::gateway {
 namespace {
 
-// Over any 4 s a server gets at most half as much again as its rate allows. What a request costs is told with
-// each question, as the time in which the server takes one: so a keeper needs to know no server's rate, and
-// one that changes holds from the next question on.
+// Over any 4 s a server gets at most 1.5 times what its rate allows. Each request carries its cost as the
+// time in which the server takes one request. So an owner needs to know no server's rate, and a changed rate
+// applies from the next request on.
 constexpr quota::LimitTolerance kTolerance = {absl::Seconds(4), 0.5, 0};
 const quota::RateLimit kServerTimeLimit = {quota::LimitUnit::kRequests, 1, 0, 1};
 
--- a/src/gateway/server_rates.h
+++ b/src/gateway/server_rates.h
@@ -1,5 +1,5 @@
-// Rates that servers named for all gateways together: a request may be sent to such a server once the keeper
-// of its rate has granted it.
+// Rate limits that servers report for all gateways together: a request may be sent to such a server once the
+// owner of the limit has granted it.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace quincewick::gateway {
 
-// A request's part of a server's rate.
+// A request's share of a server's rate limit.
 struct RateGrant {
   quota::LimitName name;
   double cost = 0;
@@ -17,7 +17,7 @@
 
 struct RateDecision {
   bool is_granted = false;
-  absl::Duration retry_after;  // where it was denied
+  absl::Duration retry_after;  // if denied
   RateGrant grant;
 };
 
@@ -27,12 +27,12 @@
 
   void start() { exchange_.start(); }
 
-  // May a request be sent to this server now? Calls `on_decision` once, perhaps before this returns. Returns
-  // the number by which to `forget` it.
+  // Requests leave to send a request to this server now. Calls `on_decision` once, perhaps before this
+  // returns. Returns the request number to pass to `cancel`.
   using DecisionCallback = std::function<void(const RateDecision& decision)>;
   uint64_t acquire(const forwarding::Server& server, DecisionCallback on_decision);
   void cancel(uint64_t number) { exchange_.cancel(number); }
-  // The request was not sent there after all.
+  // Returns a grant whose request was not sent.
   void refund(const RateGrant& grant) { exchange_.refund(grant.name, grant.cost, grant.owner); }
 
  private:
