--- a/src/gateway/core.cc
+++ b/src/gateway/core.cc
@@ -10,7 +10,7 @@
 namespace quincewick::gateway {
 namespace {
 
-// Machines' clocks differ by seconds; a larger difference is an error.
+// Machines' clocks differ by seconds; a start time further ahead than this is invalid.
 constexpr absl::Duration kMaxClockSkew = absl::Hours(1);
 constexpr absl::Duration kRevocationMargin = absl::Milliseconds(300);
 
--- a/src/gateway/crash_message.cc
+++ b/src/gateway/crash_message.cc
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr uint32_t kMaxRequests = 64;     // in one crash
-constexpr int64_t kMaxAgeMs = 3'600'000;  // in milliseconds
+constexpr uint32_t kMaxRequests = 64;  // in one crash
+constexpr int64_t kMaxAgeMs = 3'600'000;
 
 }  // namespace
 
--- a/src/gateway/gateway_settings.h
+++ b/src/gateway/gateway_settings.h
@@ -26,7 +26,7 @@
 
 // The site's guarantees, from which the gateway derives its own time limits.
 struct GatewayBounds {
-  absl::Duration key_revocation = absl::Seconds(5);  // no request is sent under a key revoked longer ago
+  absl::Duration key_revocation = absl::Seconds(5);  // no request runs under a key revoked longer ago
   absl::Duration configuration_in_force =
       absl::Seconds(5);                            // an acknowledged configuration is in force within it
   absl::Duration server_drain = absl::Seconds(2);  // no request is sent to a server that leaves after it
--- a/tests/gateway/configuration_age_test.cc
+++ b/tests/gateway/configuration_age_test.cc
@@ -1,6 +1,6 @@
-// The incident: a gateway answered 404, which is final to a caller, to a request whose route had been
-// acknowledged longer ago than a configuration may take to be in force. It knew that its configuration was
-// older than that, and decided without asking. Proof: the first case here.
+// Guards against a final 404 for a route that was acknowledged longer ago than a configuration may take to be
+// in force: the gateway decided by a configuration that it knew to be older than that bound. See the first
+// case.
 #include <catch2/catch.hpp>
 
 #include "running_gateway.h"
@@ -24,7 +24,8 @@
   return std::stod(metrics.substr(metrics.find(name) + name.size()));
 }
 
-TEST_CASE_METHOD(Fixture, "a route or key that an outdated configuration lacks is not rejected for good") {
+TEST_CASE_METHOD(
+    Fixture, "a route or key that is missing from an outdated configuration is rejected with Retry-After") {
   site.addServer("i-1", [](const Seen& /*seen*/) { return Script{signedAnswer("served")}; });
   const RunningGateway gateway(settingsOf("a", site.secondStoreAddress(), site));
   await([&gateway] { return has(gateway.ask("/none/", kKey), "HTTP/1.1 404"); });
--- a/tests/gateway/crash_message_test.cc
+++ b/tests/gateway/crash_message_test.cc
@@ -23,7 +23,7 @@
   return message;
 }
 
-TEST_CASE("a message about ends of servers reads back as it was written, and no part of it passes for one") {
+TEST_CASE("a crash message survives encoding, and truncated or extended bytes are rejected") {
   CrashMessage message;
   message.crashes.push_back({1, 2, {request(3), request(4)}, absl::Milliseconds(250)});
   message.cleared.push_back(request(5));
@@ -44,7 +44,7 @@
   CHECK(decodeCrashMessage(bytes + "x").has_error());
 }
 
-TEST_CASE("a full message about ends of servers fits into a datagram") {
+TEST_CASE("a full crash message fits into a datagram") {
   CHECK(encodeCrashMessage(fullMessage()).size() <= peer::kMaximumDatagramPayload);
   CrashMessage quarantined;
   for (uint64_t number = 0; number < kCrashMessageCapacity; ++number) {
@@ -53,7 +53,7 @@
   CHECK(encodeCrashMessage(quarantined).size() <= peer::kMaximumDatagramPayload);
 }
 
-TEST_CASE("a message about ends of servers of another version is refused") {
+TEST_CASE("a crash message of another version is rejected") {
   std::string bytes = encodeCrashMessage(fullMessage());
   const size_t version = 1;  // behind the archive's byte order
   for (const char other : {char(0), char(2), char(255)}) {
@@ -62,7 +62,7 @@
   }
 }
 
-TEST_CASE("any bytes are refused as ends of servers or read, and nothing else") {
+TEST_CASE("arbitrary bytes are either rejected or decoded as a bounded crash message") {
   CHECK(rc::check([](const std::string& bytes) {
     const auto read = decodeCrashMessage(bytes);
     const bool is_bounded = read.has_error() || read.value().crashes.size() <= 64;
@@ -70,8 +70,8 @@
   }));
 }
 
-// What a gateway of the landing before this message can't read is one kind of envelope: all others are as
-// they were.
+// A gateway of the version before crash messages rejects only that kind of envelope, as the numbers of the
+// other kinds are unchanged.
 TEST_CASE("the kinds of messages between gateways keep their numbers") {
   CHECK(static_cast<int>(peer::PeerModule::kMembership) == 1);
   CHECK(static_cast<int>(peer::PeerModule::kConfiguration) == 2);
--- a/tests/gateway/gateway_settings_test.cc
+++ b/tests/gateway/gateway_settings_test.cc
@@ -9,7 +9,7 @@
 namespace quincewick::gateway {
 namespace {
 
-// The deployment's template with each of its gaps filled as a platform would.
+// The deployment's settings template with all placeholders filled as a platform would.
 std::string filledTemplate() {
   std::ifstream in(std::string(QUINCEWICK_SOURCE_FOLDER) + "/deploy/settings.template");
   std::stringstream text;
@@ -48,7 +48,7 @@
                                           {"{{bounds.quotaSlack}}", "110000"}});
 }
 
-TEST_CASE("what the deployment's template gives is read whole") {
+TEST_CASE("the deployment's filled settings template is parsed completely") {
   const std::string text = filledTemplate();
   CHECK(text.find("{{") == std::string::npos);
   CHECK(looksLikeGatewaySettings(text));
@@ -68,7 +68,7 @@
   CHECK(parsed.value->rollout_share == 0.1);
 }
 
-TEST_CASE("each mechanism of placement is on unless it is switched off by name") {
+TEST_CASE("each placement switch is on unless it is set to false") {
   const std::string needed =
       "gateway_id: g\nzone: z\nregion: r\nlisten:\n  callers: 10.0.0.1:1\n  readiness: 10.0.0.1:2\nstore: "
       "10.0.0.2:3\n";
@@ -84,7 +84,7 @@
   CHECK_FALSE(parseGatewaySettings(needed + "placement:\n  copies: false\n").ok());
 }
 
-TEST_CASE("faults are told with their place") {
+TEST_CASE("errors are reported with their line") {
   const auto parsed = parseGatewaySettings("gateway_id: g\nzone: z\nregion: r\nsotre: 10.0.0.1:1\n");
   CHECK_FALSE(parsed.ok());
   const bool names_the_line = std::any_of(parsed.diagnostics.begin(), parsed.diagnostics.end(),
--- a/tests/gateway/gateway_test.cc
+++ b/tests/gateway/gateway_test.cc
@@ -1,4 +1,4 @@
-// The whole way of a request, on loopback: caller, gateway, store and servers.
+// End-to-end tests on loopback: caller, gateway, store and servers.
 #include "gateway/gateway.h"
 
 #include <catch2/catch.hpp>
@@ -17,7 +17,7 @@
   return "id: " + std::to_string(id) + "\ndata: x\n\n";
 }
 
-// Two servers that fail the first request which reaches either, and serve all others.
+// Adds two servers that fail the first request to reach either of them and serve all later ones.
 void addFailingOnce(StandInSite& site, const Script& failure, const Script& then) {
   auto failed = std::make_shared<bool>(false);
   for (const char* id : {"i-1", "i-2"}) {
@@ -27,7 +27,7 @@
   }
 }
 
-TEST_CASE_METHOD(Fixture, "a request and its answer pass unchanged, the key stays here") {
+TEST_CASE_METHOD(Fixture, "a request and its response are forwarded unchanged, without the key") {
   site.addServer("i-1", [](const Seen& /*seen*/) { return Script{signedAnswer("the body")}; });
   const RunningGateway gateway(site);
   const std::string answer =
@@ -45,7 +45,7 @@
   CHECK(*findField(seen.head.fields, "X-Mine") == "1");
 }
 
-TEST_CASE_METHOD(Fixture, "unknown routes, missing keys and bad input have statuses of their own") {
+TEST_CASE_METHOD(Fixture, "unknown routes, missing keys and bad input get distinct statuses") {
   site.addServer("i-1", [](const Seen& /*seen*/) { return Script{signedAnswer("")}; });
   const RunningGateway gateway(site);
   CHECK(has(gateway.ask("/none/", kKey), "HTTP/1.1 404"));
@@ -58,14 +58,14 @@
   CHECK(site.seen().size() == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "what may run once is not sent again when its answer is lost") {
+TEST_CASE_METHOD(Fixture, "a request that may run once is not sent again when its response is lost") {
   addFailingOnce(site, {"", false, true}, {signedAnswer("late")});
   const RunningGateway gateway(site);
   CHECK(has(gateway.ask("/once/a", kKey), "HTTP/1.1 502"));
   CHECK(site.seen().size() == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "what may be repeated is sent to another server when its answer is lost") {
+TEST_CASE_METHOD(Fixture, "a repeatable request is sent to another server when its response is lost") {
   addFailingOnce(site, {"", false, true}, {signedAnswer("again")});
   const RunningGateway gateway(site);
   CHECK(gateway.ask("/safe/a", kKey).ends_with("again"));
@@ -73,20 +73,20 @@
   CHECK(site.seen()[0].server != site.seen()[1].server);
 }
 
-TEST_CASE_METHOD(Fixture, "a request that a server says it did not run goes to another") {
+TEST_CASE_METHOD(Fixture, "a request that a server reports as not run is sent to another server") {
   addFailingOnce(site, {answerOf(503, {{"Quincewick-Not-Executed", "1"}}, "")}, {signedAnswer("ran")});
   const RunningGateway gateway(site);
   CHECK(gateway.ask("/once/a", kKey).ends_with("ran"));
   CHECK(site.seen().size() == 2);
 }
 
-TEST_CASE_METHOD(Fixture, "a 503 without the server's word promises nothing to the caller") {
+TEST_CASE_METHOD(Fixture, "a 503 that does not confirm that the request was not run becomes a 502") {
   site.addServer("i-1", [](const Seen& /*seen*/) { return Script{answerOf(503, {}, "")}; });
   const RunningGateway gateway(site);
   CHECK(has(gateway.ask("/once/a", kKey), "HTTP/1.1 502"));
 }
 
-TEST_CASE_METHOD(Fixture, "a refusal of all servers says when to come back") {
+TEST_CASE_METHOD(Fixture, "a refusal by all servers has a Retry-After") {
   site.addServer("i-1", [](const Seen& /*seen*/) {
     return Script{answerOf(503, {{"Quincewick-Not-Executed", "1"}}, "")};
   });
@@ -96,12 +96,11 @@
   CHECK(has(answer, "Retry-After: "));
 }
 
-TEST_CASE_METHOD(Fixture,
-                 "a request above its tenant's limit reaches no server and hears when to come back") {
+TEST_CASE_METHOD(Fixture, "a request above its tenant's limit reaches no server and gets a Retry-After") {
   site.addServer("i-1", [](const Seen& /*seen*/) { return Script{signedAnswer("ok")}; });
   const RunningGateway gateway(site);
   const HeaderFields limited = {{"Authorization", "Bearer limited"}, {"Quincewick-Token-Usage", "900,100"}};
-  CHECK(has(gateway.ask("/safe/1", limited), " 200 "));  // on credit: more than was saved up
+  CHECK(has(gateway.ask("/safe/1", limited), " 200 "));  // on credit: exceeds the saved burst
   const std::string refused = gateway.ask("/safe/2", limited);
   CHECK(has(refused, " 429 Too Many Requests"));
   CHECK(has(refused, "Retry-After: "));
@@ -110,9 +109,9 @@
   CHECK(site.seen().size() == 2);
 }
 
-// 500 rows are what the store gives at once: of 986 gateways' rows nobody read the other half, and a gateway
-// whose own row stood there wrote and read it again without a pause and without end.
-TEST_CASE_METHOD(Fixture, "a gateway finds its own row behind those of 1,200 others, and asks no more then") {
+// The store returns at most 500 rows per read. On a site of 986 gateways the remaining rows were never read,
+// and a gateway whose own row was among them wrote and reread it in an endless loop without a pause.
+TEST_CASE_METHOD(Fixture, "a gateway finds its own row after those of 1,200 others, and stops reading") {
   site.addServer("i-1", [](const Seen& /*seen*/) { return Script{signedAnswer("")}; });
   for (int number = 1000; number < 2200; ++number) {
     site.setRow("gateway-peers", absl::StrCat("g-", number), "127.0.0.1:9 1 elsewhere");
@@ -120,10 +119,10 @@
   GatewaySettings settings = RunningGateway::settings("z-last", site.secondStoreAddress(), site);
   settings.site_is_new = false;
   const RunningGateway gateway(settings);
-  for (int asked = 0; asked < 30; ++asked) {
+  for (int attempt = 0; attempt < 30; ++attempt) {
     CHECK(has(gateway.ask("/open/", {}), " 200 "));
   }
-  // The key and the own row are written, each after a whole reading: three of those in all.
+  // The key and the gateway's own row are written, each after a complete read: three complete reads in all.
   size_t readings = 0;
   size_t later_pages = 0;
   for (const std::string& target : site.secondCalls()) {
@@ -135,8 +134,8 @@
   CHECK(later_pages == 2 * readings);
 }
 
-// Its failures came sooner than others' answers, and so it looked like the quickest server.
-TEST_CASE_METHOD(Fixture, "a server that fails quickly draws no further requests") {
+// Its failures came faster than other servers' responses, so it was taken for the fastest server.
+TEST_CASE_METHOD(Fixture, "a server that fails quickly attracts no further requests") {
   size_t failed = 0;
   site.addServer("i-1", [&failed](const Seen& /*seen*/) {
     ++failed;
@@ -144,13 +143,13 @@
   });
   site.addServer("i-2", [](const Seen& /*seen*/) { return Script{signedAnswer("")}; });
   const RunningGateway gateway(site);
-  for (int asked = 0; asked < 20; ++asked) {
+  for (int attempt = 0; attempt < 20; ++attempt) {
     gateway.ask("/once/", kKey);
   }
   CHECK(failed <= 2);
 }
 
-TEST_CASE_METHOD(Fixture, "a success without a signature is no answer") {
+TEST_CASE_METHOD(Fixture, "a success response without a signature is not forwarded") {
   site.addServer("i-1", [](const Seen& /*seen*/) { return Script{answerOf(200, {}, "spoilt")}; });
   const RunningGateway gateway(site);
   const std::string answer = gateway.ask("/once/a", kKey);
@@ -158,7 +157,7 @@
   CHECK_FALSE(has(answer, "spoilt"));
 }
 
-TEST_CASE_METHOD(Fixture, "a late answer to another attempt is passed over") {
+TEST_CASE_METHOD(Fixture, "a late response to another attempt is skipped") {
   const std::string late = answerOf(
       200, {{"Quincewick-Response-Signature", "s"}, {"Quincewick-Attempt-Id", "attempt-0"}}, "not yours");
   site.addServer("i-1", [late](const Seen& /*seen*/) { return Script{late + signedAnswer("yours")}; });
@@ -167,7 +166,7 @@
 }
 
 TEST_CASE_METHOD(Fixture,
-                 "a stream goes on at another server after its last whole event, under its first head") {
+                 "a stream resumes at another server after its last complete event, under its first head") {
   Script first;
   first.answer = streamHead("s1") + printChunk(event(1)) + printChunk(event(2) + "id: 3\ndata:");
   first.resets = true;
@@ -191,7 +190,7 @@
   CHECK(*findField(site.seen()[1].head.fields, "Last-Event-Id") == "2");
 }
 
-TEST_CASE_METHOD(Fixture, "a stream that can't be resumed is cut visibly") {
+TEST_CASE_METHOD(Fixture, "a stream that can't be resumed ends without its last chunk") {
   Script cut;
   cut.answer = streamHead("s1") + printChunk(event(1));
   cut.closes = true;
@@ -203,13 +202,13 @@
   CHECK(site.seen().size() == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "a request that may have run is given up by its route's timeout with 504") {
+TEST_CASE_METHOD(Fixture, "a request that may have run gets 504 at its route's timeout") {
   site.addServer("i-1", [](const Seen& /*seen*/) { return Script{}; });
   const RunningGateway gateway(site);
   CHECK(has(gateway.ask("/short/a", kKey), "HTTP/1.1 504"));
 }
 
-TEST_CASE_METHOD(Fixture, "requests on one connection are answered in turn") {
+TEST_CASE_METHOD(Fixture, "pipelined requests are answered in order") {
   site.addServer("i-1", [](const Seen& seen) { return Script{signedAnswer(seen.head.target)}; });
   const RunningGateway gateway(site);
   const HeaderFields fields = {
@@ -222,8 +221,8 @@
   CHECK(answer.ends_with("/safe/2"));
 }
 
-// Finding F1.
-TEST_CASE_METHOD(Fixture, "a gateway that stops is not ready, serves on, and closes after each answer") {
+TEST_CASE_METHOD(Fixture,
+                 "a gateway that stops is not ready, keeps serving, and closes after each response") {
   site.addServer("i-1", [](const Seen& /*seen*/) { return Script{signedAnswer("served")}; });
   RunningGateway gateway(site);
   gateway.stopGracefully();
@@ -237,7 +236,7 @@
   CHECK(answer.ends_with("served"));
 }
 
-// The configuration's next version, which adds a route.
+// Writes the next version of the configuration, with an additional route.
 void addRoute(StandInSite& site) {
   std::string configuration = kConfiguration;
   configuration.replace(configuration.find("\"version\":3"), 11, "\"version\":4");
@@ -251,7 +250,7 @@
   await([&gateway] { return gateway.ask("/new/", kKey).ends_with("served"); });
 }
 
-TEST_CASE_METHOD(Fixture, "a gateway that the store refuses takes its changes from the peer that reads it") {
+TEST_CASE_METHOD(Fixture, "a gateway that the store refuses gets changes from the zone reader") {
   site.addServer("i-1", [](const Seen& /*seen*/) { return Script{signedAnswer("served")}; });
   const RunningGateway reader(RunningGateway::settings("a", site.storeAddress(), site));
   const RunningGateway other(RunningGateway::settings("b", site.secondStoreAddress(), site));
@@ -262,8 +261,8 @@
   CHECK(has(other.ask("/none/", kKey), "HTTP/1.1 404"));
 }
 
-// Finding F20.
-TEST_CASE_METHOD(Fixture, "a gateway that starts beside a reader asks the store after its peers alone") {
+TEST_CASE_METHOD(Fixture,
+                 "a gateway that starts while there is a zone reader queries the store only for its peers") {
   site.addServer("i-1", [](const Seen& /*seen*/) { return Script{signedAnswer("served")}; });
   const RunningGateway reader(RunningGateway::settings("a", site.storeAddress(), site));
   const RunningGateway other(RunningGateway::settings("b", site.secondStoreAddress(), site));
@@ -274,9 +273,9 @@
   CHECK(site.secondCalls().size() <= 3);
 }
 
-// The age of what a reader tells must not count the time for which a question was held: followers then left
-// sound readers, twice a second in all, and asked the store themselves.
-TEST_CASE_METHOD(Fixture, "a follower of a sound reader leaves the store alone") {
+// The age of a reader's rows must not include the time for which a long poll was held. It did, and followers
+// left healthy readers twice a second in all and queried the store themselves.
+TEST_CASE_METHOD(Fixture, "a follower of a healthy reader does not query the store") {
   const RunningGateway reader(RunningGateway::settings("a", site.secondStoreAddress(), site));
   const RunningGateway other(RunningGateway::settings("b", site.storeAddress(), site));
   awaitPeer(other);
@@ -292,9 +291,9 @@
   CHECK(calls_of(other) == calls);
 }
 
-// A gateway that starts takes from its reader when versions were named: the reader's rows must be fresh,
-// though the store answers no question after changes here.
-TEST_CASE_METHOD(Fixture, "a reader takes a version's naming into its rows as soon as it is written down") {
+// A gateway that starts gets from its reader when versions were requested, so the reader's rows must be
+// fresh, though the store serves no change feed here.
+TEST_CASE_METHOD(Fixture, "a reader reads the record of a requested version as soon as it is written") {
   const RunningGateway reader(RunningGateway::settings("a", site.secondStoreAddress(), site));
   const auto readings = [this] {
     const std::vector<std::string> calls = site.secondCalls();
@@ -302,7 +301,7 @@
       return target.starts_with("/v1/rows-get") && has(target, "table=gateway-weights");
     });
   };
-  // Once at its start, then once a minute.
+  // Read once at the start, then once a minute.
   await([&readings] { return readings() >= 1; });
   const auto readings_before = readings();
   site.setRow("op", "version/m", R"({"model":"m","version":2})");
@@ -310,7 +309,7 @@
   CHECK(readings() > readings_before);
 }
 
-TEST_CASE_METHOD(Fixture, "a follower reads the store itself when its reader is gone") {
+TEST_CASE_METHOD(Fixture, "a follower reads the store itself when its reader stops") {
   site.addServer("i-1", [](const Seen& /*seen*/) { return Script{signedAnswer("served")}; });
   auto reader = std::make_unique<RunningGateway>(RunningGateway::settings("a", site.storeAddress(), site));
   const RunningGateway other(RunningGateway::settings("b", site.secondStoreAddress(), site));
--- a/tests/gateway/occupancy_messages_test.cc
+++ b/tests/gateway/occupancy_messages_test.cc
@@ -11,8 +11,7 @@
 const OccupancyMessage kReserved{
     OccupancyMessageKind::kReserved, 5, 77, 12, 9190, 0.25, {31'000, 180, 60}, 0};
 
-TEST_CASE(
-    "a message about an engine's places reads back as it was written, and no part of it passes for one") {
+TEST_CASE("an occupancy message survives encoding, and truncated bytes are rejected") {
   const std::string bytes = encodeOccupancyMessage(kReserved);
   const auto read = decodeOccupancyMessage(bytes);
   REQUIRE(read.has_value());
@@ -28,7 +27,7 @@
   }
 }
 
-TEST_CASE("unknown kinds and absurd sizes are refused, a question without a bound is not") {
+TEST_CASE("unknown kinds and excessive sizes are rejected, an infinite bound is not") {
   OccupancyMessage message = kReserved;
   message.kind = static_cast<OccupancyMessageKind>(6);
   CHECK(decodeOccupancyMessage(encodeOccupancyMessage(message)).has_error());
@@ -42,17 +41,17 @@
   CHECK(decodeOccupancyMessage(encodeOccupancyMessage(message)).has_value());
 }
 
-TEST_CASE("an answer about an engine faster or slower than any is refused") {
+TEST_CASE("a response with a prefill speed out of range is rejected") {
   for (const uint32_t nanoseconds : {0U, 999U, 10'000'001U}) {
     OccupancyMessage message = kReserved;
     message.capability.read_ns_per_token = nanoseconds;
     CHECK(decodeOccupancyMessage(encodeOccupancyMessage(message)).has_error());
-    message.kind = OccupancyMessageKind::kReserve;  // tells of no engine
+    message.kind = OccupancyMessageKind::kReserve;  // carries no capability
     CHECK(decodeOccupancyMessage(encodeOccupancyMessage(message)).has_value());
   }
 }
 
-TEST_CASE("what an engine can do reads back as it was told") {
+TEST_CASE("an engine's capability survives conversion to a message and back") {
   forwarding::EngineCapability capability;
   capability.read_per_token = absl::Microseconds(41);
   capability.pause = absl::Milliseconds(320);
@@ -60,7 +59,7 @@
   CHECK(capabilityFrom(messageOf(capability)).value() == capability);
 }
 
-TEST_CASE("any bytes are refused or read, and nothing else") {
+TEST_CASE("arbitrary bytes are either rejected or decoded as a bounded occupancy message") {
   CHECK(rc::check([] {
     const auto read = decodeOccupancyMessage(*rc::gen::arbitrary<std::string>());
     const bool is_bounded = read.has_error() || read.value().prefill_tokens <= 1'000'000'000;
--- a/tests/gateway/running_gateway.h
+++ b/tests/gateway/running_gateway.h
@@ -1,4 +1,4 @@
-// A gateway in this process for the gateway's tests, and what they ask of it.
+// Runs a gateway in the test process, with helpers to send it requests.
 #pragma once
 
 #include <boost/asio/connect.hpp>
@@ -29,7 +29,7 @@
  "tenants":[{"name":"t","apiKeys":["key"]},
   {"name":"limited","apiKeys":["limited"],"unit":"tokens","uncachedTokens":200,"ratePerS":100,"burst":1000}]})";
 
-// A gateway on a thread of its own.
+// A gateway on its own thread; ready after construction.
 class RunningGateway {
  public:
   explicit RunningGateway(const StandInSite& site) : RunningGateway(settings(site)) {}
@@ -46,15 +46,15 @@
   RunningGateway(const RunningGateway&) = delete;
   RunningGateway& operator=(const RunningGateway&) = delete;
 
-  // Sends bytes on a new connection and reads until it ends.
+  // Sends bytes on a new connection and returns what is received until it ends.
   std::string ask(const std::string& bytes) const { return askAt(gateway_.callersPort(), bytes); }
 
-  // Asks whether the gateway is ready.
+  // The result of the readiness check.
   bool isReady() const {
     const std::string question = "GET /ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n";
     return askAt(gateway_.readinessPort(), question).find(" 200 ") != std::string::npos;
   }
-  // Its figures as text.
+  // The metrics in Prometheus' text format.
   std::string metrics() const {
     return askAt(gateway_.metricsPort(), "GET /metrics HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
   }
@@ -80,7 +80,7 @@
     return result;
   }
 
-  // One of several in a zone.
+  // Settings of one of several gateways of a zone.
   static GatewaySettings settings(const std::string& id, const Address& store, const StandInSite& site) {
     GatewaySettings result = settings(site);
     result.gateway_id = NodeId(id);
@@ -123,7 +123,7 @@
   return text.find(part) != std::string::npos;
 }
 
-// Each look takes a connection, of which a machine has only so many.
+// Polls at intervals: each check may open a connection, and a machine has a limited number of them.
 template <class Condition>
 void await(const Condition& condition) {
   while (!condition()) {
@@ -135,7 +135,7 @@
   await([&gateway] { return has(gateway.metrics(), "quincewick_peers 1"); });
 }
 
-// A site with a configuration of routes to one service, "pool".
+// A site whose configuration routes to one service, "pool".
 struct Fixture {
   StandInSite site;
   Fixture() { site.setRow("op", "config", kConfiguration); }
--- a/tests/gateway/server_leaving_test.cc
+++ b/tests/gateway/server_leaving_test.cc
@@ -1,7 +1,7 @@
-// Seen: a server that said in its answers that it leaves got requests 2.2 to 11.4 s later from the gateway
-// that had passed such an answer on; 2 s were allowed. It came about while the platform's store answered
-// nobody, so that the server's entry still said that it was ready. Cause: its word was read by nothing, only
-// the list was asked. Proof: the first two cases here, which went red on that code.
+// Guards against requests to a server that announced in its responses that it leaves. It got some 2.2 to 11.4
+// s later, from a gateway that had forwarded such a response; 2 s are allowed. The platform's store did not
+// respond, so the server was still listed as ready, and the gateway read only the list. The first two cases
+// failed then.
 #include <catch2/catch.hpp>
 
 #include "running_gateway.h"
@@ -9,7 +9,7 @@
 namespace quincewick::gateway {
 namespace {
 
-// A service with a server that says that it leaves, though its entry says that it is ready.
+// A service with a server that announces that it leaves while it is listed as ready.
 struct LeavingSite : Fixture {
   LeavingSite() {
     site.addServer("i-leaving", [](const Seen& /*seen*/) {
@@ -20,35 +20,35 @@
                              "leaving")};
     });
   }
-  size_t atLeaving() const {
+  size_t requestsAtLeaving() const {
     const std::vector<Seen> all = site.seen();
     return static_cast<size_t>(
         std::count_if(all.begin(), all.end(), [](const Seen& seen) { return seen.server == "i-leaving"; }));
   }
 };
 
-TEST_CASE_METHOD(LeavingSite,
-                 "a server that said that it leaves gets nothing new, though it is listed as ready") {
+TEST_CASE_METHOD(
+    LeavingSite,
+    "a server that announced that it leaves gets no new requests, though it is listed as ready") {
   const RunningGateway gateway(RunningGateway::settings("a", site.storeAddress(), site));
   CHECK(gateway.ask("/safe/a", kKey).ends_with("leaving"));
   site.addServer("i-other", [](const Seen& /*seen*/) { return Script{signedAnswer("other")}; });
   await([&gateway] { return has(gateway.metrics(), "quincewick_servers 2\n"); });
-  for (int asked = 0; asked < 20; ++asked) {
+  for (int attempt = 0; attempt < 20; ++attempt) {
     CHECK(gateway.ask("/once/a", kKey).ends_with("other"));
   }
-  CHECK(atLeaving() == 1);
+  CHECK(requestsAtLeaving() == 1);
 }
 
-TEST_CASE_METHOD(LeavingSite,
-                 "where only a server is left that said that it leaves, requests are rejected at once") {
+TEST_CASE_METHOD(LeavingSite, "requests are rejected at once if the only server announced that it leaves") {
   const RunningGateway gateway(site);
   CHECK(gateway.ask("/safe/a", kKey).ends_with("leaving"));
-  for (int asked = 0; asked < 5; ++asked) {
+  for (int attempt = 0; attempt < 5; ++attempt) {
     const std::string answer = gateway.ask("/once/a", kKey);
     CHECK(has(answer, "HTTP/1.1 503"));
     CHECK(has(answer, "Retry-After"));
   }
-  CHECK(atLeaving() == 1);
+  CHECK(requestsAtLeaving() == 1);
 }
 
 }  // namespace
--- a/tests/gateway/server_rate_test.cc
+++ b/tests/gateway/server_rate_test.cc
@@ -1,7 +1,7 @@
-// Seen: servers that had named a limit of 1 and 1.1 requests a second got 13 and 16 within 4 s from gateways
-// that they had told; 11 and 12 were allowed. Cause: nothing read what a server says of itself in its
-// answers; only the platform's list of servers was asked. Proof: the first two cases here, which went red on
-// that code.
+// Guards against requests above a rate limit that a server reports in its responses. Servers with a limit of
+// 1 and 1.1 requests per second got 13 and 16 within 4 s from gateways that had received it; 11 and 12 are
+// allowed. The gateways ignored the response fields and read only the platform's list of servers. The first
+// two cases failed then.
 #include <atomic>
 #include <catch2/catch.hpp>
 #include <thread>
@@ -11,10 +11,10 @@
 namespace quincewick::gateway {
 namespace {
 
-// From then on a gateway that passed on such an answer is bound by it.
+// A gateway that forwarded such a response must obey the limit after this time.
 constexpr std::chrono::milliseconds kReported(500);
 
-// A service with a server that names a rate, `reported_rate`, in its answers; empty: none.
+// A service with a server that reports the rate `reported_rate` in its responses; empty: none.
 struct RateSite : Fixture {
   std::shared_ptr<std::string> reported_rate = std::make_shared<std::string>("1");
   std::shared_ptr<std::mutex> mutex = std::make_shared<std::mutex>();
@@ -37,17 +37,17 @@
     const std::lock_guard lock(*mutex);
     *reported_rate = rate;
   }
-  size_t atLimited() const {
+  size_t requestsAtLimited() const {
     const std::vector<Seen> all = site.seen();
     return static_cast<size_t>(
         std::count_if(all.begin(), all.end(), [](const Seen& seen) { return seen.server == "i-limited"; }));
   }
 };
 
-// Asks until the limited server has answered through the gateway.
+// Sends requests until the limited server has responded through the gateway.
 void reportRate(const RateSite& site, const RunningGateway& gateway) {
-  const size_t before = site.atLimited();
-  while (site.atLimited() == before) {
+  const size_t before = site.requestsAtLimited();
+  while (site.requestsAtLimited() == before) {
     gateway.ask("/safe/a", kKey);
   }
 }
@@ -56,14 +56,14 @@
   await([&] { return has(gateway.metrics(), absl::StrCat("quincewick_servers ", count, "\n")); });
 }
 
-// What the site promises a server that named a rate of 1 a second, for requests over so long.
-double allowed(std::chrono::duration<double> time) {
+// Most requests that a server with a rate of 1 per second may get over that time.
+double maxRequests(std::chrono::duration<double> time) {
   return 1.5 * std::max(4.0, time.count()) + 5;
 }
 
-// Two gateways that were told went on as before: the limited server was the quicker one.
-TEST_CASE_METHOD(RateSite,
-                 "gateways that a server told its rate together keep to it, and others serve the rest") {
+// Both gateways ignored the limit before, as the limited server was the faster one.
+TEST_CASE_METHOD(
+    RateSite, "two gateways share a server's reported rate, and other servers take the remaining requests") {
   const RunningGateway first(RunningGateway::settings("a", site.storeAddress(), site));
   const RunningGateway second(RunningGateway::settings("b", site.storeAddress(), site));
   awaitPeer(first);
@@ -74,26 +74,26 @@
   awaitServers(first, 2);
   awaitServers(second, 2);
   std::this_thread::sleep_for(kReported);
-  const size_t before = atLimited();
+  const size_t before = requestsAtLimited();
   const auto begin = std::chrono::steady_clock::now();
-  for (int asked = 0; asked < 50; ++asked) {
+  for (int attempt = 0; attempt < 50; ++attempt) {
     CHECK(first.ask("/safe/a", kKey).ends_with("served"));
     CHECK(second.ask("/safe/a", kKey).ends_with("served"));
   }
   const auto took = std::chrono::steady_clock::now() - begin;
-  CHECK(static_cast<double>(atLimited() - before) <= allowed(took));
+  CHECK(static_cast<double>(requestsAtLimited() - before) <= maxRequests(took));
 }
 
-// It had no other server: all went there.
-TEST_CASE_METHOD(
-    RateSite, "where only a limited server is left, the rest is rejected at once and told when to return") {
+// With no other server, all requests went to the limited one before.
+TEST_CASE_METHOD(RateSite,
+                 "requests above the rate of the only server are rejected at once with Retry-After") {
   const RunningGateway gateway(site);
   reportRate(*this, gateway);
   std::this_thread::sleep_for(kReported);
-  const size_t before = atLimited();
+  const size_t before = requestsAtLimited();
   const auto begin = std::chrono::steady_clock::now();
   size_t rejected = 0;
-  for (int asked = 0; asked < 50; ++asked) {
+  for (int attempt = 0; attempt < 50; ++attempt) {
     const std::string answer = gateway.ask("/once/a", kKey);
     const bool is_rejected = has(answer, "HTTP/1.1 503");
     CHECK((is_rejected || answer.ends_with("served")));
@@ -101,27 +101,27 @@
     rejected += is_rejected ? 1 : 0;
   }
   const auto took = std::chrono::steady_clock::now() - begin;
-  const size_t reached = atLimited() - before;
+  const size_t reached = requestsAtLimited() - before;
   CHECK(reached == 50 - rejected);
-  CHECK(static_cast<double>(reached) <= allowed(took));
+  CHECK(static_cast<double>(reached) <= maxRequests(took));
 }
 
-TEST_CASE_METHOD(RateSite, "a server that names no rate any more gets all requests again") {
+TEST_CASE_METHOD(RateSite, "a server that stops reporting a rate gets all requests again") {
   const RunningGateway gateway(site);
   reportRate(*this, gateway);
   setRate("");
-  // The next answer that the rate lets through ends it.
+  // The next response without a rate lifts the limit.
   await([&gateway] { return gateway.ask("/once/a", kKey).ends_with("served"); });
-  for (int asked = 0; asked < 30; ++asked) {
+  for (int attempt = 0; attempt < 30; ++attempt) {
     CHECK(gateway.ask("/once/a", kKey).ends_with("served"));
   }
 }
 
-TEST_CASE_METHOD(RateSite, "a rate that can't be read limits nothing, and is told") {
+TEST_CASE_METHOD(RateSite, "a malformed rate limits nothing and is counted") {
   for (const char* malformed : {"", "many", "-1", "nan", "inf", "1,2"}) {
     setRate(malformed);
     const RunningGateway gateway(RunningGateway::settings("a", site.storeAddress(), site));
-    for (int asked = 0; asked < 30; ++asked) {
+    for (int attempt = 0; attempt < 30; ++attempt) {
       CHECK(gateway.ask("/once/a", kKey).ends_with("served"));
     }
     CAPTURE(malformed);
@@ -130,15 +130,15 @@
   }
 }
 
-// Else nobody would learn that its limit ended.
-TEST_CASE_METHOD(RateSite, "a server that wants nothing at all is still asked now and then") {
+// Otherwise no gateway would learn that the limit was lifted.
+TEST_CASE_METHOD(RateSite, "a server with a rate of 0 still gets a request from time to time") {
   setRate("0");
   const RunningGateway gateway(site);
   reportRate(*this, gateway);
-  const size_t before = atLimited();
+  const size_t before = requestsAtLimited();
   await([&] {
     gateway.ask("/once/a", kKey);
-    return atLimited() > before + 1;
+    return requestsAtLimited() > before + 1;
   });
 }
 
--- a/tests/gateway/stand_in_site.h
+++ b/tests/gateway/stand_in_site.h
@@ -1,5 +1,5 @@
-// A site on loopback for the gateway's tests: a store with rows, and servers that answer by script. It runs
-// on a thread of its own.
+// A site on loopback for the gateway's tests: a store with rows, and servers that respond by script. It runs
+// on its own thread.
 #pragma once
 
 #include <absl/strings/escaping.h>
@@ -23,16 +23,16 @@
 
 namespace quincewick::gateway {
 
-// What a stand-in does with one request.
+// How a stand-in server handles one request.
 struct Script {
-  std::string answer;      // its bytes
-  bool closes = false;     // the connection ends after the answer
-  bool resets = false;     // it is reset after the answer
-  bool is_silent = false;  // no answer
-  bool crashes = false;    // after the answer, the server ends: all its connections break, nothing listens
+  std::string answer;      // bytes to send
+  bool closes = false;     // closes the connection after the response
+  bool resets = false;     // resets the connection after the response
+  bool is_silent = false;  // sends no response
+  bool crashes = false;    // after the response, resets all connections and stops listening
 };
 
-// Takes requests at a port of its own and answers each by the handler, which runs on the site's thread.
+// Listens at its own port and responds to each request by the handler, which runs on the site's thread.
 class StandInServer {
  public:
   using Handler = std::function<Script(const HttpHead& head, const std::string& body)>;
@@ -105,7 +105,7 @@
   return printAnswerHead(status, "Any", fields) + body;
 }
 
-// One request as a server got it.
+// A request as a server received it.
 struct Seen {
   std::string server;
   HttpHead head;
@@ -133,7 +133,7 @@
   StandInSite& operator=(const StandInSite&) = delete;
 
   Address storeAddress() const { return store_->address(); }
-  // The same store for machines that it may refuse.
+  // A second address of the same store, at which requests can be refused: see refuseSecond.
   Address secondStoreAddress() const { return second_store_->address(); }
 
   void setRow(const std::string& table, const std::string& key, const std::string& value) {
@@ -147,7 +147,7 @@
     return found != rows_.end() && !found->second.empty();
   }
 
-  // The row's value; empty: it isn't there.
+  // The row's value; empty if there is none.
   std::string row(const std::string& table, const std::string& key) const {
     const std::lock_guard lock(mutex_);
     const auto found = rows_.find(table);
@@ -155,7 +155,7 @@
     return row == nullptr || !row->contains(key) ? "" : row->at(key).value;
   }
 
-  // Adds a server of the service "pool" that answers by script; `answers` gets what it was asked.
+  // Adds a server of the service "pool". `answers` maps each request to the response.
   void addServer(const std::string& id, std::function<Script(const Seen& seen)> answers,
                  const std::string& models = "[]", const std::string& software = "v1") {
     std::promise<void> done;
@@ -178,13 +178,13 @@
                         models, "}"));
   }
 
-  // From now on the store refuses those who ask at its second address, or serves them again.
+  // Sets whether the store responds with 503 at its second address.
   void refuseSecond(bool refuses) {
     const std::lock_guard lock(mutex_);
     refuses_second_ = refuses;
   }
 
-  // Targets of the calls that came to the store's second address.
+  // Targets of the requests received at the store's second address.
   std::vector<std::string> secondCalls() const {
     const std::lock_guard lock(mutex_);
     return second_calls_;
@@ -230,7 +230,7 @@
     return decoded;
   }
 
-  // Writes all rows of `put` if all conditions hold; they get one version, as the store's transactions do.
+  // Writes all rows of `put` under one new version if all conditions hold, as the store's transactions do.
   Script write(const std::string& body) {
     const nlohmann::json transaction = nlohmann::json::parse(body);
     for (const auto& condition : transaction["expectedRevision"]) {
@@ -272,7 +272,7 @@
       }
     }
     if (head.target.starts_with("/v1/rows-feed")) {
-      return {answerOf(503, {}, ""), false, false, false};  // changes are seen by whole readings
+      return {answerOf(503, {}, ""), false, false, false};  // changes are seen by complete reads only
     }
     return {answerOf(200, {},
                      absl::StrCat(R"({"rows":[)", rows, R"(],"more":)", has_more ? "true" : "false",
