--- a/src/gateway/cache_store_watch.cc
+++ b/src/gateway/cache_store_watch.cc
@@ -14,38 +14,38 @@
 void CacheStoreWatch::tick() {
   if (core_.in_force.configuration != nullptr && watches_()) {
     for (const forwarding::CacheStoreTraits& store : core_.in_force.configuration->cacheStores()) {
-      look(store.address);
+      probe(store.address);
     }
   }
   core_.timers.schedule(reactor::steadyNow() + kInterval, [this] { tick(); });
 }
 
-void CacheStoreWatch::look(const Address& store) {
+void CacheStoreWatch::probe(const Address& store) {
   const uint64_t name = Core::nameOfStore(store);
-  Look& look = looks_[name];
-  if (look.connection != nullptr) {
+  Probe& probe = probes_[name];
+  if (probe.connection != nullptr) {
     return;
   }
-  look.limit =
-      core_.timers.schedule(reactor::steadyNow() + kConnectLimit, [this, name] { end(name, false); });
+  probe.limit =
+      core_.timers.schedule(reactor::steadyNow() + kConnectLimit, [this, name] { finishProbe(name, false); });
   const auto connected = [this, name](reactor::ConnectResult result) {
     const bool is_reached = result == reactor::ConnectResult::kUp;
     // Not from within the connection's own call.
-    core_.timers.schedule(reactor::steadyNow(), [this, name, is_reached] { end(name, is_reached); });
+    core_.timers.schedule(reactor::steadyNow(), [this, name, is_reached] { finishProbe(name, is_reached); });
   };
-  look.connection = reactor::Connection::connect(core_.reactor, store, connected);
+  probe.connection = reactor::Connection::connect(core_.reactor, store, connected);
 }
 
-void CacheStoreWatch::end(uint64_t name, bool is_reached) {
-  Look& look = looks_[name];
-  if (look.connection == nullptr) {
+void CacheStoreWatch::finishProbe(uint64_t name, bool is_reached) {
+  Probe& probe = probes_[name];
+  if (probe.connection == nullptr) {
     return;
   }
-  core_.timers.cancel(look.limit);
-  std::exchange(look.connection, nullptr)->abort();
-  look.failures = is_reached ? 0 : look.failures + 1;
+  core_.timers.cancel(probe.limit);
+  std::exchange(probe.connection, nullptr)->abort();
+  probe.failures = is_reached ? 0 : probe.failures + 1;
   const bool was_dead = core_.dead_cache_stores.contains(name);
-  const bool is_dead = look.failures >= kFailuresUntilDead;
+  const bool is_dead = probe.failures >= kFailuresUntilDead;
   if (is_dead == was_dead) {
     return;
   }
--- a/src/gateway/cache_store_watch.h
+++ b/src/gateway/cache_store_watch.h
@@ -23,19 +23,19 @@
   void start() { tick(); }
 
  private:
-  struct Look {
+  struct Probe {
     std::shared_ptr<reactor::Connection> connection;  // null: none is under way
     reactor::TimerQueue::Key limit;
     uint32_t failures = 0;  // in a row
   };
 
   void tick();
-  void look(const Address& store);
-  void end(uint64_t name, bool is_reached);
+  void probe(const Address& store);
+  void finishProbe(uint64_t name, bool is_reached);
 
   Core& core_;
   std::function<bool()> watches_;
-  absl::flat_hash_map<uint64_t, Look> looks_;  // by the store's name
+  absl::flat_hash_map<uint64_t, Probe> probes_;  // by the store's name
 };
 
 }  // namespace quincewick::gateway
--- a/src/gateway/configuration_confirmer.cc
+++ b/src/gateway/configuration_confirmer.cc
@@ -7,25 +7,25 @@
 using forwarding::ConfirmationSchedule;
 
 // A gateway that knows no configuration yet rejects requests, and is told one by its zone's reader.
-void ConfigurationConfirmer::tick(absl::FunctionRef<bool()> hears_reader, absl::Time now) {
+void ConfigurationConfirmer::tick(absl::FunctionRef<bool()> has_live_reader, absl::Time now) {
   const absl::Duration bound = core_.settings.bounds.configuration_in_force;
-  const bool may_ask = !is_asking_ && core_.in_force.configuration != nullptr;
-  if (may_ask && schedule_.isDue(bound, core_.in_force.confirmed, hears_reader, now)) {
-    ask(now);
+  const bool may_send = !is_request_pending_ && core_.in_force.configuration != nullptr;
+  if (may_send && schedule_.isDue(bound, core_.in_force.confirmed, has_live_reader, now)) {
+    sendRequest(now);
   }
 }
 
-void ConfigurationConfirmer::ask(absl::Time now) {
-  is_asking_ = true;
+void ConfigurationConfirmer::sendRequest(absl::Time now) {
+  is_request_pending_ = true;
   schedule_.noteAsked(now);
   reader_.read(
       core_.dialect->tables().configuration,
-      [this, now](StoreStatus status, WholeTable table) { takeAnswer(status, std::move(table), now); },
+      [this, now](StoreStatus status, TableSnapshot table) { handleResponse(status, std::move(table), now); },
       ConfirmationSchedule::questionLimit(core_.settings.bounds.configuration_in_force));
 }
 
-void ConfigurationConfirmer::takeAnswer(StoreStatus status, WholeTable table, absl::Time asked) {
-  is_asking_ = false;
+void ConfigurationConfirmer::handleResponse(StoreStatus status, TableSnapshot table, absl::Time sent_at) {
+  is_request_pending_ = false;
   const bool is_confirmed = status == StoreStatus::kDone;
   const absl::Time now = reactor::steadyNow();
   core_.metrics.countConfirmation(is_confirmed);
@@ -33,7 +33,7 @@
       .with("done", is_confirmed ? "true" : "false")
       .with("was_confirmed_ms_ago", core_.configurationAge(now));
   if (is_confirmed) {
-    news_({std::move(table.rows), true, table.version, asked, asked});
+    on_update_({std::move(table.rows), true, table.version, sent_at, sent_at});
   }
 }
 
--- a/src/gateway/configuration_confirmer.h
+++ b/src/gateway/configuration_confirmer.h
@@ -11,29 +11,30 @@
 #include "forwarding/confirmation_schedule.h"
 #include "forwarding/row_cache.h"
 #include "gateway/core.h"
-#include "gateway/whole_table_reader.h"
+#include "gateway/snapshot_reader.h"
 
 namespace quincewick::gateway {
 
 class ConfigurationConfirmer {
  public:
-  using News = std::function<void(const forwarding::TableNews& news)>;
+  using UpdateHandler = std::function<void(const forwarding::TableNews& on_update)>;
 
-  ConfigurationConfirmer(Core& core, News news) : core_(core), news_(std::move(news)), reader_(core) {}
+  ConfigurationConfirmer(Core& core, UpdateHandler on_update)
+      : core_(core), on_update_(std::move(on_update)), reader_(core) {}
 
-  // Asks if a confirmation is due and none is under way. `hears_reader`: whether somebody gets answers of the
-  // store.
-  void tick(absl::FunctionRef<bool()> hears_reader, absl::Time now);
+  // Asks if a confirmation is due and none is under way. `has_live_reader`: whether somebody gets answers of
+  // the store.
+  void tick(absl::FunctionRef<bool()> has_live_reader, absl::Time now);
 
  private:
-  void ask(absl::Time now);
-  void takeAnswer(StoreStatus status, WholeTable table, absl::Time asked);
+  void sendRequest(absl::Time now);
+  void handleResponse(StoreStatus status, TableSnapshot table, absl::Time sent_at);
 
   Core& core_;
-  News news_;
-  WholeTableReader reader_;
+  UpdateHandler on_update_;
+  SnapshotReader reader_;
   forwarding::ConfirmationSchedule schedule_;
-  bool is_asking_ = false;
+  bool is_request_pending_ = false;
 };
 
 }  // namespace quincewick::gateway
--- a/src/gateway/crash_exchange.cc
+++ b/src/gateway/crash_exchange.cc
@@ -34,8 +34,9 @@
 
 void CrashExchange::start(std::function<bool()> reads_store) {
   reads_store_ = std::move(reads_store);
-  peers_.setTaker(peer::PeerModule::kCrashes,
-                  [this](const NodeId& from, std::string_view payload) { return take(from, payload); });
+  peers_.setMessageHandler(peer::PeerModule::kCrashes, [this](const NodeId& from, std::string_view payload) {
+    return take(from, payload);
+  });
   beat();
 }
 
--- a/src/gateway/crash_exchange.h
+++ b/src/gateway/crash_exchange.h
@@ -13,9 +13,9 @@
 #include "forwarding/crash_register.h"
 #include "gateway/core.h"
 #include "gateway/crash_message.h"
-#include "gateway/crash_record.h"
 #include "gateway/peer_directory.h"
 #include "gateway/peer_exchange.h"
+#include "gateway/quarantine_record.h"
 #include "routing/keeper_ranks.h"
 
 namespace quincewick::gateway {
@@ -70,7 +70,7 @@
   Core& core_;
   PeerDirectory& directory_;
   PeerExchange& peers_;
-  CrashRecord record_;
+  QuarantineRecord record_;
   forwarding::CrashRegister register_;
   std::function<bool()> reads_store_ = [] { return false; };
   bool was_reading_ = false;
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -326,7 +326,7 @@
     return;
   }
   const bool was_sent = ledger_.wouldRepeat();
-  noteRolloutEnd(RolloutExchange::End::kFailed);
+  noteRolloutEnd(RolloutExchange::AttemptOutcome::kFailed);
   attempt_.reset();
   releaseServer();
   if (!was_sent) {
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -85,7 +85,7 @@
   double placeAmongPrompts() const;
   bool mayStillUseServer() const;
   void noteRolloutSent();
-  void noteRolloutEnd(RolloutExchange::End end);
+  void noteRolloutEnd(RolloutExchange::AttemptOutcome end);
   void settleRollout();
   bool isForetoldLate() const;
   uint32_t levelAtEngine() const;
@@ -138,8 +138,8 @@
   // The version of the servers that this attempt may go to, where versions are moved in stages.
   std::optional<SoftwareVersion> software_;
   Servers servers_of_software_;
-  std::optional<RolloutExchange::End> rollout_end_;  // while an attempt counts as under way
-  bool was_crowded_ = false;                         // its server, when it was sent there
+  std::optional<RolloutExchange::AttemptOutcome> rollout_end_;  // while an attempt counts as under way
+  bool was_crowded_ = false;                                    // its server, when it was sent there
 
   // The attempt under way.
   forwarding::ServerDirectory::ServerPointer server_;
--- a/src/gateway/exchange_admission.cc
+++ b/src/gateway/exchange_admission.cc
@@ -44,7 +44,7 @@
     refuse(kUnavailable, "no_configuration", kRetryAfter);
     return false;
   }
-  const bool knows_versions = core_.rollouts == nullptr || core_.rollouts->knowsRecords();
+  const bool knows_versions = core_.rollouts == nullptr || core_.rollouts->hasRecords();
   if (!core_.knows_servers || !knows_versions) {
     refuse(kUnavailable, "servers_not_read_yet", kRetryAfter);
     return false;
--- a/src/gateway/exchange_answer.cc
+++ b/src/gateway/exchange_answer.cc
@@ -191,12 +191,12 @@
       endAttempt(AttemptEnd::kRefused);
       return;
     case Verdict::kBroken:
-      noteRolloutEnd(RolloutExchange::End::kFailed);
+      noteRolloutEnd(RolloutExchange::AttemptOutcome::kFailed);
       ServerDirectory::noteFailure(*server_, kBrokenWeight, now);
       endAttempt(AttemptEnd::kUnknown);
       return;
     case Verdict::kFailed:
-      noteRolloutEnd(RolloutExchange::End::kFailed);
+      noteRolloutEnd(RolloutExchange::AttemptOutcome::kFailed);
       ServerDirectory::noteFailure(*server_, kFailureWeight, now);
       endAttempt(AttemptEnd::kFailed);
       return;
@@ -218,10 +218,10 @@
 // quick answer, it drew all further requests to its server.
 void Exchange::noteServersAnswer(absl::Time now) {
   if (answer_.status >= kFirstServerError) {
-    noteRolloutEnd(RolloutExchange::End::kFailed);
+    noteRolloutEnd(RolloutExchange::AttemptOutcome::kFailed);
     ServerDirectory::noteFailure(*server_, kFailureWeight, now);
   } else {
-    noteRolloutEnd(RolloutExchange::End::kAnswered);
+    noteRolloutEnd(RolloutExchange::AttemptOutcome::kAnswered);
     ServerDirectory::noteSuccess(*server_, now - attempt_began_);
   }
 }
@@ -240,7 +240,7 @@
 
 void Exchange::onAnswerBroken() {
   const auto self = shared_from_this();
-  noteRolloutEnd(RolloutExchange::End::kFailed);
+  noteRolloutEnd(RolloutExchange::AttemptOutcome::kFailed);
   ServerDirectory::noteFailure(*server_, kBrokenWeight, reactor::steadyNow());
   core_.crashes->noteBroken(server_, identity_);
   endAttempt(AttemptEnd::kUnknown);
--- a/src/gateway/exchange_rollout.cc
+++ b/src/gateway/exchange_rollout.cc
@@ -54,12 +54,12 @@
 void Exchange::noteRolloutSent() {
   if (core_.rollouts != nullptr) {
     was_crowded_ = 2 * server_->running() > server_->entry.slots;
-    rollout_end_ = RolloutExchange::End::kNothing;
+    rollout_end_ = RolloutExchange::AttemptOutcome::kUncounted;
     core_.rollouts->noteSent(*server_);
   }
 }
 
-void Exchange::noteRolloutEnd(RolloutExchange::End end) {
+void Exchange::noteRolloutEnd(RolloutExchange::AttemptOutcome end) {
   if (rollout_end_) {
     rollout_end_ = end;
   }
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -43,11 +43,11 @@
       crash_exchange_(core_, peer_directory_, peers_),
       crashes_(core_, crash_exchange_),
       rollouts_(core_, peers_),
-      rollout_director_(core_, peer_directory_, peers_, rollouts_),
+      rollout_controller_(core_, peer_directory_, peers_, rollouts_),
       relay_(core_, peer_directory_),
       follower_(core_, peer_directory_, peers_, relay_),
-      orders_(core_, peers_),
-      cache_stores_(core_, [this] { return follower_.readsWell(); }),
+      weight_loader_(core_, peers_),
+      cache_stores_(core_, [this] { return follower_.isZoneReader(); }),
       signals_(core_.reactor, SIGTERM, SIGINT, SIGHUP) {}
 
 Gateway::~Gateway() = default;
@@ -77,15 +77,15 @@
   quotas_.start();
   server_rates_.start();
   occupancy_.start();
-  crash_exchange_.start([this] { return follower_.readsWell(); });
+  crash_exchange_.start([this] { return follower_.isZoneReader(); });
   if (core_.settings.rollout_share > 0) {
     core_.rollouts = &rollouts_;
     rollouts_.start();
-    rollout_director_.start([this] { return follower_.readsWell(); });
+    rollout_controller_.start([this] { return follower_.isZoneReader(); });
   }
   follower_.start();
   startPeers();
-  orders_.start();
+  weight_loader_.start();
   cache_stores_.start();
   tick();
   return outcome::success();
@@ -96,7 +96,8 @@
     core_.budget.noteNodes(1);
     return;
   }
-  peers_.setReading([this] { return follower_.readsWell(); }, [this] { return follower_.seeksReader(); });
+  peers_.setReaderStatus([this] { return follower_.isZoneReader(); },
+                         [this] { return follower_.seeksReader(); });
   if (relay_.listen(*core_.settings.listen.peers)) {
     core_.settings.listen.peers->port = relay_.port();  // digests come to the same number
   } else {
@@ -114,7 +115,7 @@
 bool Gateway::isReady() const {
   return !core_.is_stopping && core_.in_force.configuration != nullptr && core_.knows_servers &&
          core_.keysAreConfirmed(reactor::steadyNow()) &&
-         (core_.rollouts == nullptr || core_.rollouts->knowsRecords());
+         (core_.rollouts == nullptr || core_.rollouts->hasRecords());
 }
 
 void Gateway::acceptCaller(reactor::Connection::Socket socket) {
@@ -140,7 +141,7 @@
     levels.configuration_version = static_cast<double>(core_.in_force.configuration->version().value());
     levels.configuration_age_seconds = absl::ToDoubleSeconds(now - core_.in_force.confirmed);
   }
-  levels.holds_lease = orders_.holdsLease(now) ? 1 : 0;
+  levels.holds_lease = weight_loader_.holdsLease(now) ? 1 : 0;
   levels.peers = static_cast<double>(peers_.livePeers(now).size());
   levels.servers = static_cast<double>(core_.directory.all().size());
   levels.servers_age_seconds = absl::ToDoubleSeconds(now - core_.servers_as_of);
@@ -223,7 +224,8 @@
   for (const auto& connection : idle) {
     connection->stopSoon();
   }
-  const bool is_done = core_.requests_under_way == 0 && !orders_.isCarryingOut(reactor::steadyNow());
+  const bool is_done =
+      core_.requests_under_way == 0 && !weight_loader_.hasPendingOrders(reactor::steadyNow());
   if (is_done || grace_is_over) {
     core_.log.event("stopped", reactor::steadyNow())
         .with("under_way", static_cast<int64_t>(core_.requests_under_way));
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -16,15 +16,15 @@
 #include "gateway/crash_exchange.h"
 #include "gateway/crash_watch.h"
 #include "gateway/occupancy_exchange.h"
-#include "gateway/order_giver.h"
 #include "gateway/peer_directory.h"
 #include "gateway/peer_exchange.h"
 #include "gateway/quota_exchange.h"
-#include "gateway/rollout_director.h"
+#include "gateway/rollout_controller.h"
 #include "gateway/rollout_exchange.h"
 #include "gateway/row_relay.h"
 #include "gateway/server_rates.h"
 #include "gateway/site_follower.h"
+#include "gateway/weight_loader.h"
 #include "reactor/connection.h"
 #include "reactor/plain_server.h"
 
@@ -76,10 +76,10 @@
   CrashExchange crash_exchange_;
   CrashWatch crashes_;
   RolloutExchange rollouts_;
-  RolloutDirector rollout_director_;
+  RolloutController rollout_controller_;
   RowRelay relay_;
   SiteFollower follower_;
-  OrderGiver orders_;
+  WeightLoader weight_loader_;
   CacheStoreWatch cache_stores_;
   boost::asio::signal_set signals_;
   std::unique_ptr<reactor::Listener> callers_;
--- a/src/gateway/lease_keeper.h
+++ b/src/gateway/lease_client.h
@@ -14,14 +14,14 @@
 
 namespace quincewick::gateway {
 
-class LeaseKeeper {
+class LeaseClient {
  public:
-  // `row`: the lease's key; `renewed`: it was taken or renewed just now.
-  LeaseKeeper(Core& core, std::string row, std::function<void()> renewed);
+  // `row`: the lease's key; `on_renewed`: it was taken or renewed just now.
+  LeaseClient(Core& core, std::string row, std::function<void()> on_renewed);
 
   // Called again and again. Not needed: it is left to run out. Else it is renewed, or taken once `turn` has
   // passed since it was needed and since another was last heard to hold it.
-  void pursue(bool is_needed, absl::Duration turn, absl::Time holder_heard, absl::Time now);
+  void maintain(bool is_needed, absl::Duration turn, absl::Time holder_last_heard, absl::Time now);
   bool holds(absl::Time now) const { return lease_.holds(now); }
   // Whether the holder may act: not near the lease's end.
   bool mayAct(absl::Time now) const { return lease_.mayOrder(now); }
@@ -34,22 +34,23 @@
   void onFenced(Epoch seen = Epoch()) { lease_.onFenced(seen); }
 
  private:
-  void take(absl::Time holder_heard, absl::Time now);
+  void acquire(absl::Time holder_last_heard, absl::Time now);
   void renew(absl::Time now);
   void write(const forwarding::LeaseWrite& write);
-  void takeWritten(StoreStatus status, const forwarding::StoreRows& answer, absl::Time began, bool was_held);
-  void logTaken(absl::Duration store_clock, absl::Time now);
+  void handleWriteResult(StoreStatus status, const forwarding::StoreRows& response, absl::Time began,
+                         bool was_held);
+  void logAcquired(absl::Duration store_clock, absl::Time now);
 
   Core& core_;
   StoreClient store_;
   std::string row_;
-  std::function<void()> renewed_;
+  std::function<void()> on_renewed_;
   forwarding::OrderLease lease_;
   RefusedRows refused_rows_;
-  std::optional<forwarding::LeaseRecord> found_;  // by the last reading
-  bool call_under_way_ = false;
+  std::optional<forwarding::LeaseRecord> last_read_;  // by the last reading
+  bool is_call_pending_ = false;
   absl::Time next_renewal_ = absl::InfinitePast();
-  absl::Time next_pursuit_ = absl::InfinitePast();
+  absl::Time next_attempt_ = absl::InfinitePast();
   absl::Time needed_since_ = absl::InfiniteFuture();
 };
 
--- a/src/gateway/occupancy_exchange.cc
+++ b/src/gateway/occupancy_exchange.cc
@@ -32,13 +32,14 @@
     : core_(core), directory_(directory), peers_(peers) {}
 
 void OccupancyExchange::start() {
-  peers_.setTaker(peer::PeerModule::kOccupancy,
-                  [this](const NodeId& from, std::string_view payload) { return take(from, payload); });
+  peers_.setMessageHandler(
+      peer::PeerModule::kOccupancy,
+      [this](const NodeId& from, std::string_view payload) { return take(from, payload); });
   beat();
 }
 
 void OccupancyExchange::beat() {
-  ranks_.setMembers(directory_.keeperMembers());
+  ranks_.setMembers(directory_.ownerCandidates());
   core_.timers.schedule(reactor::steadyNow() + kBeatInterval, [this] { beat(); });
 }
 
--- a/src/gateway/packed_rows.cc
+++ b/src/gateway/packed_rows.cc
@@ -8,23 +8,24 @@
 namespace {
 
 // Rows repeat each other but for a few numbers: a quick level finds that.
-constexpr int kLevel = 1;
+constexpr int kCompressionLevel = 1;
 // Of rows unpacked: 100,000 servers.
-constexpr uint64_t kLargestTable = uint64_t{32} << 20;
+constexpr uint64_t kMaxUnpackedBytes = uint64_t{32} << 20;
 
 }  // namespace
 
 std::string packRows(const std::vector<forwarding::StoreRow>& rows) {
   const std::string plain = encodeRows(rows);
   std::string packed(ZSTD_compressBound(plain.size()), '\0');
-  const size_t size = ZSTD_compress(packed.data(), packed.size(), plain.data(), plain.size(), kLevel);
+  const size_t size =
+      ZSTD_compress(packed.data(), packed.size(), plain.data(), plain.size(), kCompressionLevel);
   packed.resize(ZSTD_isError(size) == 0 ? size : 0);
   return packed;
 }
 
 Result<std::vector<forwarding::StoreRow>> unpackRows(std::string_view bytes) {
   const uint64_t size = ZSTD_getFrameContentSize(bytes.data(), bytes.size());
-  if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN || size > kLargestTable) {
+  if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN || size > kMaxUnpackedBytes) {
     return fail(ErrorCode::kInvalidArgument, "packed rows have no size, or too great a one");
   }
   std::string plain(size, '\0');
--- a/src/gateway/peer_digest.cc
+++ b/src/gateway/peer_digest.cc
@@ -10,37 +10,37 @@
 namespace quincewick::gateway {
 namespace {
 
-constexpr uint32_t kMaximumElements = 512;
-constexpr uint32_t kMaximumName = 64;
+constexpr uint32_t kMaxElements = 512;
+constexpr uint32_t kMaxNameBytes = 64;
 
 }  // namespace
 
 template <class Archive>
 void serialize(Archive& archive, PlacementDigest& placement) {
   archive(placement.server);
-  archiveList(archive, placement.keys, kMaximumElements);
+  archiveList(archive, placement.keys, kMaxElements);
 }
 
 template <class Archive>
 void serialize(Archive& archive, LoadPart& load) {
   archive(load.part, load.parts);
-  archiveList(archive, load.loads, kMaximumElements);
+  archiveList(archive, load.loads, kMaxElements);
 }
 
 template <class Archive>
 void serialize(Archive& archive, ZoneDigest& zone) {
-  archiveText(archive, zone.zone, kMaximumName);
+  archiveText(archive, zone.zone, kMaxNameBytes);
   archive(zone.load);
 }
 
 template <class Archive>
 void serialize(Archive& archive, PeerDigest& digest) {
-  archiveText(archive, digest.address.host, kMaximumName);
+  archiveText(archive, digest.address.host, kMaxNameBytes);
   archive(digest.address.port);
-  archiveText(archive, digest.zone, kMaximumName);
-  archive(digest.capacity, digest.gateways_known, digest.reads_well, digest.seeks_reader, digest.gives_orders,
-          digest.has_news);
-  archiveList(archive, digest.dead_stores, kMaximumElements);
+  archiveText(archive, digest.zone, kMaxNameBytes);
+  archive(digest.capacity, digest.gateways_known, digest.is_zone_reader, digest.seeks_reader,
+          digest.holds_order_lease, digest.has_updates);
+  archiveList(archive, digest.dead_stores, kMaxElements);
   bool has_load = digest.load.has_value();
   archive(has_load);
   if (has_load) {
@@ -48,14 +48,14 @@
     archive(load);
     digest.load = std::move(load);
   }
-  archiveList(archive, digest.zones, kMaximumElements);
-  archiveList(archive, digest.placements, kMaximumElements);
-  archiveList(archive, digest.engines, kMaximumElements);
-  archiveList(archive, digest.capabilities, kMaximumElements);
+  archiveList(archive, digest.zones, kMaxElements);
+  archiveList(archive, digest.placements, kMaxElements);
+  archiveList(archive, digest.engines, kMaxElements);
+  archiveList(archive, digest.capabilities, kMaxElements);
 }
 
-std::vector<LoadPart> cutIntoParts(const std::vector<LoadDigest>& loads, size_t most) {
-  size_t count = std::max<size_t>((loads.size() + most - 1) / most, 1);
+std::vector<LoadPart> splitIntoParts(const std::vector<LoadDigest>& loads, size_t max_loads) {
+  size_t count = std::max<size_t>((loads.size() + max_loads - 1) / max_loads, 1);
   while (true) {
     std::vector<LoadPart> parts(count);
     for (const LoadDigest& load : loads) {
@@ -67,8 +67,8 @@
       parts[index].parts = static_cast<uint16_t>(count);
       largest = std::max(largest, parts[index].loads.size());
     }
-    const bool is_cut_apart = count > loads.size();  // hashes that are alike can't be
-    if (largest <= most || is_cut_apart) {
+    const bool is_unsplittable = count > loads.size();  // hashes that are alike can't be
+    if (largest <= max_loads || is_unsplittable) {
       return parts;
     }
     ++count;
--- a/src/gateway/peer_digest.h
+++ b/src/gateway/peer_digest.h
@@ -74,10 +74,10 @@
   std::string zone;
   double capacity = 0;                // of the sender's machine
   uint32_t gateways_known = 0;        // to the sender, itself among them, or told by another
-  bool reads_well = false;            // the sender reads the store for its zone
+  bool is_zone_reader = false;        // the sender reads the store for its zone
   bool seeks_reader = false;          // the sender neither reads the store nor follows one who does
-  bool gives_orders = false;          // the sender holds the lease for orders to engines
-  bool has_news = false;              // all but loads; without it the lists below are empty and mean nothing
+  bool holds_order_lease = false;     // the sender holds the lease for orders to engines
+  bool has_updates = false;           // all but loads; without it the lists below are empty and mean nothing
   std::vector<uint64_t> dead_stores;  // of kept cache, by name; from a reader, for its zone
   std::optional<LoadPart> load;       // of the sender itself
   std::vector<ZoneDigest> zones;      // from a reader: its own zone's for other readers, theirs for its zone
@@ -86,9 +86,9 @@
   std::vector<CapabilityDigest> capabilities;  // of engines whose books the sender keeps, or as it was told
 };
 
-// Cuts a whole account into as many parts as needed, of `most` loads each at most; one that is empty where
-// there are no loads. Which part a server falls into depends on nothing but its hash and their number.
-std::vector<LoadPart> cutIntoParts(const std::vector<LoadDigest>& loads, size_t most);
+// Cuts a whole account into as many parts as needed, of `max_loads` loads each at most; one that is empty
+// where there are no loads. Which part a server falls into depends on nothing but its hash and their number.
+std::vector<LoadPart> splitIntoParts(const std::vector<LoadDigest>& loads, size_t max_loads);
 
 // The hash by which digests name servers, models and stores.
 uint64_t hashOf(std::string_view name);
--- a/src/gateway/peer_directory.cc
+++ b/src/gateway/peer_directory.cc
@@ -21,8 +21,8 @@
 constexpr absl::Duration kNewSiteSpread = absl::Milliseconds(400);
 // Restarted ones only read, and can't serve before: as soon as the store's rate allows for a whole site.
 constexpr absl::Duration kRestartSpread = absl::Milliseconds(50);
-constexpr absl::Duration kFirstRetryPause = absl::Milliseconds(400);
-constexpr absl::Duration kLongestRetryPause = absl::Milliseconds(1600);
+constexpr absl::Duration kInitialRetryDelay = absl::Milliseconds(400);
+constexpr absl::Duration kMaxRetryDelay = absl::Milliseconds(1600);
 constexpr double kRetryJitter = 0.3;
 // Who starts tells all whose rows it finds, so the rows are read again only in case that was lost.
 constexpr absl::Duration kRowsInterval = absl::Minutes(2);
@@ -57,7 +57,11 @@
 }  // namespace
 
 PeerDirectory::PeerDirectory(Core& core)
-    : core_(core), store_(core), reader_(core), retry_pause_(kFirstRetryPause), refused_rows_(core, kTable) {}
+    : core_(core),
+      store_(core),
+      reader_(core),
+      retry_delay_(kInitialRetryDelay),
+      refused_rows_(core, kTable) {}
 
 // On a new site the own row can't be there yet and is written first; else it mostly is, and one reading is
 // all.
@@ -75,42 +79,42 @@
   });
 }
 
-void PeerDirectory::readRowsAgain(absl::Duration after) {
+void PeerDirectory::readRowsLater(absl::Duration after) {
   core_.timers.schedule(reactor::steadyNow() + after, [this] { readRows(); });
 }
 
 // Gateways that the store refuses together ask again apart, and less and less often.
-absl::Duration PeerDirectory::nextRetryPause() {
-  const absl::Duration pause = retry_pause_;
-  retry_pause_ = std::min(retry_pause_ * 2, kLongestRetryPause);
+absl::Duration PeerDirectory::nextRetryDelay() {
+  const absl::Duration pause = retry_delay_;
+  retry_delay_ = std::min(retry_delay_ * 2, kMaxRetryDelay);
   return pause * (1 + kRetryJitter * absl::Uniform(core_.random, -1.0, 1.0));
 }
 
 void PeerDirectory::readRows() {
-  reader_.read(kTable, [this](StoreStatus status, const WholeTable& table) {
+  reader_.read(kTable, [this](StoreStatus status, const TableSnapshot& table) {
     if (status != StoreStatus::kDone) {
-      readRowsAgain(nextRetryPause());
+      readRowsLater(nextRetryDelay());
       return;
     }
-    retry_pause_ = kFirstRetryPause;
-    takeRows(table);
+    retry_delay_ = kInitialRetryDelay;
+    applyRows(table);
   });
 }
 
 // The key's row is written once, by the first gateway that finds none. The own row is written before others'
 // rows are read for the last time: of two that start together, one at least finds the other.
-void PeerDirectory::takeRows(const WholeTable& table) {
+void PeerDirectory::applyRows(const TableSnapshot& table) {
   const std::string own_key = core_.settings.gateway_id.value();
   const std::string own_value = printPeer(core_.settings);
   bool has_key = false;
-  bool is_own_there = false;
+  bool has_own_row = false;
   uint64_t own_version = 0;
   for (const forwarding::StoreRow& row : table.rows) {
     if (row.key == kKeyRow) {
       has_key = true;
-      takeKey(row.value, table.clock);
+      applyKey(row.value, table.clock);
     } else if (row.key == own_key) {
-      is_own_there = row.value == own_value;
+      has_own_row = row.value == own_value;
       own_version = row.version;
     } else if (const auto read = parsePeer(row.value); !read) {
       refused_rows_.note(row.key, "no address, capacity and zone of a gateway");
@@ -124,11 +128,11 @@
   }
   if (!has_key) {
     writeKey();
-  } else if (!is_own_there) {
+  } else if (!has_own_row) {
     writeOwnRow(own_version);
   } else {
     core_.budget.noteNodes(peers_.size() + 1);
-    readRowsAgain(kRowsInterval);
+    readRowsLater(kRowsInterval);
   }
 }
 
@@ -157,11 +161,11 @@
   if (status == StoreStatus::kDone) {
     had_conflict_ = false;
   }
-  const bool is_at_once = status == StoreStatus::kDone || is_first_conflict;
-  readRowsAgain(is_at_once ? absl::ZeroDuration() : nextRetryPause());
+  const bool is_immediate = status == StoreStatus::kDone || is_first_conflict;
+  readRowsLater(is_immediate ? absl::ZeroDuration() : nextRetryDelay());
 }
 
-void PeerDirectory::takeKey(const std::string& secret, absl::Duration store_clock) {
+void PeerDirectory::applyKey(const std::string& secret, absl::Duration store_clock) {
   if (authenticator_ != nullptr) {
     return;
   }
@@ -178,7 +182,7 @@
   ready_();
 }
 
-std::vector<routing::KeeperMember> PeerDirectory::keeperMembers() const {
+std::vector<routing::KeeperMember> PeerDirectory::ownerCandidates() const {
   std::vector<routing::KeeperMember> members = {{core_.settings.gateway_id, core_.settings.capacity}};
   for (const auto& [id, peer] : peers_) {
     members.push_back({id, peer.capacity});
--- a/src/gateway/peer_directory.h
+++ b/src/gateway/peer_directory.h
@@ -12,8 +12,8 @@
 
 #include "gateway/core.h"
 #include "gateway/refused_rows.h"
+#include "gateway/snapshot_reader.h"
 #include "gateway/store_client.h"
-#include "gateway/whole_table_reader.h"
 #include "peer/authenticator.h"
 #include "routing/keeper_ranks.h"
 
@@ -23,12 +23,12 @@
 struct Peer {
   Address address;  // UDP for digests, TCP for questions after rows
   ZoneName zone;    // empty: not known yet
-  absl::Time heard = absl::InfinitePast();
-  double capacity = 0;        // of its machine
-  bool reads_well = false;    // it reads the store and gets answers
-  uint64_t told_engines = 0;  // what it was told of, by the numbers of the news
-  uint64_t told_placements = 0;
-  uint64_t told_capabilities = 0;
+  absl::Time last_received = absl::InfinitePast();
+  double capacity = 0;              // of its machine
+  bool is_zone_reader = false;      // it reads the store and gets answers
+  uint64_t last_engine_update = 0;  // what it was told of, by the numbers of the news
+  uint64_t last_placement_update = 0;
+  uint64_t last_capability_update = 0;
 };
 
 class PeerDirectory {
@@ -43,24 +43,24 @@
   absl::btree_map<NodeId, Peer>& peers() { return peers_; }
   const absl::btree_map<NodeId, Peer>& peers() const { return peers_; }
   // All gateways of the site, this one too, as those that may keep books for the others.
-  std::vector<routing::KeeperMember> keeperMembers() const;
+  std::vector<routing::KeeperMember> ownerCandidates() const;
   bool isOwnZone(const Peer& peer) const { return peer.zone == core_.settings.zone; }
 
  private:
   void readRows();
-  void takeRows(const WholeTable& table);
-  void takeKey(const std::string& secret, absl::Duration store_clock);
+  void applyRows(const TableSnapshot& table);
+  void applyKey(const std::string& secret, absl::Duration store_clock);
   void writeKey();
   void writeOwnRow(uint64_t expected_version);
-  void readRowsAgain(absl::Duration after);
+  void readRowsLater(absl::Duration after);
   void readAfterWrite(StoreStatus status);
-  absl::Duration nextRetryPause();
+  absl::Duration nextRetryDelay();
 
   Core& core_;
   StoreClient store_;
-  WholeTableReader reader_;
+  SnapshotReader reader_;
   std::function<void()> ready_;
-  absl::Duration retry_pause_;  // until the next call where the store did not answer
+  absl::Duration retry_delay_;  // until the next call where the store did not answer
   bool had_conflict_ = false;   // the last write met a row that the reading before had not shown
   std::unique_ptr<peer::Authenticator> authenticator_;
   absl::btree_map<NodeId, Peer> peers_;
--- a/src/gateway/peer_exchange.cc
+++ b/src/gateway/peer_exchange.cc
@@ -11,26 +11,26 @@
 using boost::asio::ip::udp;
 
 constexpr absl::Duration kDigestInterval = absl::Milliseconds(125);
-constexpr size_t kSmallSite = 16;  // peers of a site in which all are near
-constexpr size_t kNearATick = 8;
-constexpr uint32_t kTicksForFar = 4;                           // between digests to far peers, one at a time
-constexpr absl::Duration kSilence = absl::Milliseconds(1200);  // of a peer, on a small site
-constexpr absl::Duration kRepeatAfter = absl::Milliseconds(300);
-constexpr absl::Duration kAnnouncedFor = absl::Milliseconds(1500);
-constexpr absl::Duration kFarSilence = absl::Milliseconds(1500);  // of another zone's reader
+constexpr size_t kSmallSitePeers = 16;  // peers of a site in which all are near
+constexpr size_t kNearPeersPerTick = 8;
+constexpr uint32_t kTicksPerFarPeer = 4;  // between digests to far peers, one at a time
+constexpr absl::Duration kMinSilenceTimeout = absl::Milliseconds(1200);  // of a peer, on a small site
+constexpr absl::Duration kRepeatDelay = absl::Milliseconds(300);
+constexpr absl::Duration kMinAnnouncementDuration = absl::Milliseconds(1500);
+constexpr absl::Duration kFarReaderTimeout = absl::Milliseconds(1500);  // of another zone's reader
 // What fits into one datagram, in bytes as digests are encoded.
-constexpr size_t kRoom = 920;
+constexpr size_t kDigestBudgetBytes = 920;
 constexpr size_t kLoadBytes = 14;
 constexpr size_t kEngineBytes = 28;
 constexpr size_t kPlacementBytes = 12;  // and its keys
 constexpr size_t kKeyBytes = 16;
 constexpr size_t kStoreBytes = 8;
 constexpr size_t kCapabilityBytes = 16;
-constexpr size_t kCapabilitiesKept = 512;
-constexpr size_t kStoresAtMost = 32;
-constexpr size_t kLoadsADatagram = kRoom / kLoadBytes;
-constexpr size_t kPlacementsKept = 512;
-constexpr int kDatagramsAtOnce = 4;  // to one peer
+constexpr size_t kMaxCapabilityUpdates = 512;
+constexpr size_t kMaxDeadStores = 32;
+constexpr size_t kLoadsPerDatagram = kDigestBudgetBytes / kLoadBytes;
+constexpr size_t kMaxPlacementUpdates = 512;
+constexpr int kMaxDatagramsPerSend = 4;  // to one peer
 
 LoadDigest digestOf(const forwarding::Server& server, const forwarding::ServerLoad& load) {
   return {server.identity_hash, static_cast<uint16_t>(std::min<uint32_t>(load.running, UINT16_MAX)),
@@ -41,11 +41,12 @@
 
 PeerExchange::PeerExchange(Core& core, PeerDirectory& directory)
     : core_(core), directory_(directory), socket_(core.reactor) {
-  setTaker(peer::PeerModule::kRouting, [this](const NodeId& from, std::string_view payload) -> Result<void> {
-    BOOST_OUTCOME_TRY(digest, decodeDigest(payload));
-    takeDigest(from, digest, reactor::steadyNow());
-    return outcome::success();
-  });
+  setMessageHandler(peer::PeerModule::kRouting,
+                    [this](const NodeId& from, std::string_view payload) -> Result<void> {
+                      BOOST_OUTCOME_TRY(digest, decodeDigest(payload));
+                      handleDigest(from, digest, reactor::steadyNow());
+                      return outcome::success();
+                    });
 }
 
 void PeerExchange::listen() {
@@ -66,7 +67,7 @@
   receive();
   for (auto& [id, peer] : directory_.peers()) {
     if (directory_.isOwnZone(peer)) {
-      tell(id, peer);
+      sendUpdates(id, peer);
     }
   }
   tick();
@@ -75,24 +76,24 @@
 void PeerExchange::tick() {
   const absl::Time now = reactor::steadyNow();
   countPeers();
-  forgetSilent(now);
-  noteReading();
-  takePlacements();
-  takeVersions();
-  takeCapabilities();
-  tellInTurn(true, kNearATick, last_near_);
-  if (++ticks_ % kTicksForFar == 0) {
-    tellInTurn(false, 1, last_far_);
-  }
-  tellEngineNews();
-  if (was_reading_ && ticks_ % 2 == 0) {
-    tellFarReaders();
+  expireSilentPeers(now);
+  updateReaderStatus();
+  collectPlacements();
+  collectVersions();
+  collectCapabilities();
+  sendInTurn(true, kNearPeersPerTick, last_near_);
+  if (++ticks_ % kTicksPerFarPeer == 0) {
+    sendInTurn(false, 1, last_far_);
+  }
+  sendEngineUpdates();
+  if (was_zone_reader_ && ticks_ % 2 == 0) {
+    sendToFarReaders();
   }
   core_.timers.schedule(now + kDigestInterval, [this] { tick(); });
 }
 
 bool PeerExchange::isNear(const Peer& peer) const {
-  return directory_.peers().size() <= kSmallSite || directory_.isOwnZone(peer);
+  return directory_.peers().size() <= kSmallSitePeers || directory_.isOwnZone(peer);
 }
 
 void PeerExchange::countPeers() {
@@ -102,44 +103,45 @@
   far_peers_ = peers.size() - near_peers_;
 }
 
-absl::Duration PeerExchange::silence(bool is_near) const {
+absl::Duration PeerExchange::silenceTimeout(bool is_near) const {
   constexpr double rounds = 4;
-  const size_t ticks_a_round =
-      is_near ? (near_peers_ + kNearATick - 1) / kNearATick : far_peers_ * kTicksForFar;
-  return std::max(kSilence, kDigestInterval * rounds * static_cast<double>(ticks_a_round));
+  const size_t ticks_per_round =
+      is_near ? (near_peers_ + kNearPeersPerTick - 1) / kNearPeersPerTick : far_peers_ * kTicksPerFarPeer;
+  return std::max(kMinSilenceTimeout, kDigestInterval * rounds * static_cast<double>(ticks_per_round));
 }
 
-void PeerExchange::announceOrders(absl::Time until) {
+void PeerExchange::announceOrderLease(absl::Time until) {
   if (directory_.authenticator() == nullptr) {
     return;
   }
-  gives_orders_until_ = until;
+  order_lease_until_ = until;
   for (auto& [id, peer] : directory_.peers()) {
-    tell(id, peer);
+    sendUpdates(id, peer);
   }
 }
 
 void PeerExchange::announce(const EngineDigest& engine) {
-  std::erase_if(engine_news_,
-                [&engine](const EngineNews& news) { return news.engine.server == engine.server; });
+  std::erase_if(engine_updates_,
+                [&engine](const EngineUpdate& update) { return update.engine.server == engine.server; });
   const absl::Duration closed = absl::Milliseconds(engine.closed_ms);
   const absl::Time now = reactor::steadyNow();
-  engine_news_.push_back({++last_news_, engine, now + std::max(closed, kAnnouncedFor), now + kRepeatAfter});
+  engine_updates_.push_back(
+      {++last_update_, engine, now + std::max(closed, kMinAnnouncementDuration), now + kRepeatDelay});
 }
 
-void PeerExchange::noteReading() {
-  const bool is_reading = reads_well_();
-  const bool begins = is_reading && !was_reading_;
-  was_reading_ = is_reading;
-  if (!begins || directory_.authenticator() == nullptr) {
+void PeerExchange::updateReaderStatus() {
+  const bool is_reader_now = is_zone_reader_();
+  const bool becomes_reader = is_reader_now && !was_zone_reader_;
+  was_zone_reader_ = is_reader_now;
+  if (!becomes_reader || directory_.authenticator() == nullptr) {
     return;
   }
   for (auto& [id, peer] : directory_.peers()) {
-    tell(id, peer);
+    sendUpdates(id, peer);
   }
 }
 
-void PeerExchange::takePlacements() {
+void PeerExchange::collectPlacements() {
   for (Core::NewPlacement& placement : core_.new_placements) {
     addPlacement({placement.server, std::move(placement.keys)}, Origin::kOwn);
   }
@@ -148,52 +150,54 @@
 
 // One gateway's misdirected request is enough: the others hear of the engine's version before they send
 // theirs.
-void PeerExchange::takeVersions() {
-  for (const Core::NewVersion& news : core_.new_versions) {
-    announce({news.server, hashOf(news.model.value()), news.version.value(), 0});
+void PeerExchange::collectVersions() {
+  for (const Core::NewVersion& update : core_.new_versions) {
+    announce({update.server, hashOf(update.model.value()), update.version.value(), 0});
   }
   core_.new_versions.clear();
 }
 
-void PeerExchange::takeCapabilities() {
-  for (const Core::NewCapability& news : core_.new_capabilities) {
-    addCapability({news.server, messageOf(news.capability)}, Origin::kOwn);
+void PeerExchange::collectCapabilities() {
+  for (const Core::NewCapability& update : core_.new_capabilities) {
+    addCapability({update.server, messageOf(update.capability)}, Origin::kOwn);
   }
   core_.new_capabilities.clear();
 }
 
 void PeerExchange::addCapability(const CapabilityDigest& capability, Origin origin) {
-  std::erase_if(capability_news_, [&capability](const CapabilityNews& news) {
-    return news.capability.server == capability.server;
+  std::erase_if(capability_updates_, [&capability](const CapabilityUpdate& update) {
+    return update.capability.server == capability.server;
   });
-  capability_news_.push_back({++last_news_, capability, origin});
-  if (capability_news_.size() > kCapabilitiesKept) {
-    capability_news_.pop_front();
+  capability_updates_.push_back({++last_update_, capability, origin});
+  if (capability_updates_.size() > kMaxCapabilityUpdates) {
+    capability_updates_.pop_front();
   }
 }
 
 void PeerExchange::addPlacement(PlacementDigest placement, Origin origin) {
-  placement_news_.push_back({++last_news_, std::move(placement), origin});
-  if (placement_news_.size() > kPlacementsKept) {
-    placement_news_.pop_front();
+  placement_updates_.push_back({++last_update_, std::move(placement), origin});
+  if (placement_updates_.size() > kMaxPlacementUpdates) {
+    placement_updates_.pop_front();
   }
 }
 
 bool PeerExchange::isFarReader(const Peer& peer, absl::Time now) const {
-  return !isNear(peer) && peer.reads_well && now - peer.heard <= kFarSilence;
+  return !isNear(peer) && peer.is_zone_reader && now - peer.last_received <= kFarReaderTimeout;
 }
 
-bool PeerExchange::concerns(Origin origin, const Peer& peer) const {
-  return isNear(peer) ? origin != Origin::kZone : was_reading_ && peer.reads_well && origin != Origin::kFar;
+bool PeerExchange::isRelevantTo(Origin origin, const Peer& peer) const {
+  return isNear(peer) ? origin != Origin::kZone
+                      : was_zone_reader_ && peer.is_zone_reader && origin != Origin::kFar;
 }
 
-bool PeerExchange::hasPlacementsFor(const Peer& peer) const {
-  return std::any_of(placement_news_.begin(), placement_news_.end(), [&](const PlacementNews& news) {
-    return news.number > peer.told_placements && concerns(news.origin, peer);
-  });
+bool PeerExchange::hasPlacementUpdatesFor(const Peer& peer) const {
+  return std::any_of(placement_updates_.begin(), placement_updates_.end(),
+                     [&](const PlacementUpdate& update) {
+                       return update.number > peer.last_placement_update && isRelevantTo(update.origin, peer);
+                     });
 }
 
-void PeerExchange::tellInTurn(bool near, size_t most, NodeId& last) {
+void PeerExchange::sendInTurn(bool near, size_t most, NodeId& last) {
   auto& peers = directory_.peers();
   auto next = peers.upper_bound(last);
   size_t told = 0;
@@ -201,49 +205,49 @@
     next = next == peers.end() ? peers.begin() : next;
     auto& [id, peer] = *next++;
     if (isNear(peer) == near) {
-      tell(id, peer);
+      sendUpdates(id, peer);
       last = id;
       ++told;
     }
   }
 }
 
-void PeerExchange::tellEngineNews() {
+void PeerExchange::sendEngineUpdates() {
   const absl::Time now = reactor::steadyNow();
-  std::erase_if(engine_news_, [now](const EngineNews& news) { return news.until <= now; });
-  for (EngineNews& news : engine_news_) {
-    if (now >= news.repeat) {
-      news.number = ++last_news_;
-      news.repeat = absl::InfiniteFuture();
+  std::erase_if(engine_updates_, [now](const EngineUpdate& update) { return update.until <= now; });
+  for (EngineUpdate& update : engine_updates_) {
+    if (now >= update.repeat) {
+      update.number = ++last_update_;
+      update.repeat = absl::InfiniteFuture();
     }
   }
-  std::sort(engine_news_.begin(), engine_news_.end(),
-            [](const EngineNews& left, const EngineNews& right) { return left.number < right.number; });
-  if (engine_news_.empty()) {
+  std::sort(engine_updates_.begin(), engine_updates_.end(),
+            [](const EngineUpdate& left, const EngineUpdate& right) { return left.number < right.number; });
+  if (engine_updates_.empty()) {
     return;
   }
   for (auto& [id, peer] : directory_.peers()) {
-    while (peer.told_engines < engine_news_.back().number) {
-      tell(id, peer);
+    while (peer.last_engine_update < engine_updates_.back().number) {
+      sendUpdates(id, peer);
     }
   }
 }
 
 // Readers of other zones that were heard of lately; one that only told that it reads is told back, too.
-void PeerExchange::tellFarReaders() {
+void PeerExchange::sendToFarReaders() {
   const absl::Time now = reactor::steadyNow();
-  const std::vector<LoadPart> parts = cutIntoParts(zoneLoads(), kLoadsADatagram);
+  const std::vector<LoadPart> parts = splitIntoParts(zoneLoads(), kLoadsPerDatagram);
   for (auto& [id, peer] : directory_.peers()) {
-    if (isNear(peer) || !peer.reads_well) {
+    if (isNear(peer) || !peer.is_zone_reader) {
       continue;
     }
     for (const LoadPart& part : parts) {
-      PeerDigest digest = emptyDigest();
+      PeerDigest digest = digestHeader();
       digest.zones.push_back({core_.settings.zone.value(), part});
       send(id, peer, digest);
     }
     if (isFarReader(peer, now)) {
-      tell(id, peer);
+      sendUpdates(id, peer);
     }
   }
 }
@@ -270,90 +274,91 @@
   return loads;
 }
 
-PeerDigest PeerExchange::emptyDigest() const {
+PeerDigest PeerExchange::digestHeader() const {
   PeerDigest digest;
   digest.address = *core_.settings.listen.peers;
   digest.zone = core_.settings.zone.value();
   digest.capacity = core_.settings.capacity;
   digest.gateways_known = static_cast<uint32_t>(core_.budget.nodesKnown());
-  digest.reads_well = was_reading_;
+  digest.is_zone_reader = was_zone_reader_;
   digest.seeks_reader = seeks_reader_();
-  digest.gives_orders = reactor::steadyNow() < gives_orders_until_;
+  digest.holds_order_lease = reactor::steadyNow() < order_lease_until_;
   return digest;
 }
 
 // What the peer wasn't told yet, as far as it has room.
-PeerDigest PeerExchange::newsFor(Peer& peer, std::optional<LoadPart> load, absl::Time now) {
-  PeerDigest digest = emptyDigest();
-  digest.has_news = true;
+PeerDigest PeerExchange::updatesFor(Peer& peer, std::optional<LoadPart> load, absl::Time now) {
+  PeerDigest digest = digestHeader();
+  digest.has_updates = true;
   digest.load = std::move(load);
-  if (was_reading_ && directory_.isOwnZone(peer)) {
+  if (was_zone_reader_ && directory_.isOwnZone(peer)) {
     digest.dead_stores.assign(core_.dead_cache_stores.begin(), core_.dead_cache_stores.end());
-    digest.dead_stores.resize(std::min(digest.dead_stores.size(), kStoresAtMost));
+    digest.dead_stores.resize(std::min(digest.dead_stores.size(), kMaxDeadStores));
   }
   const size_t load_bytes = digest.load ? kLoadBytes * digest.load->loads.size() : 0;
-  size_t room = kRoom - load_bytes - std::min(kRoom - load_bytes, kStoreBytes * digest.dead_stores.size());
-  for (const EngineNews& news : engine_news_) {
-    if (news.number > peer.told_engines && room >= kEngineBytes) {
-      EngineDigest engine = news.engine;
-      const absl::Duration left = news.until - now;
+  size_t room = kDigestBudgetBytes - load_bytes -
+                std::min(kDigestBudgetBytes - load_bytes, kStoreBytes * digest.dead_stores.size());
+  for (const EngineUpdate& update : engine_updates_) {
+    if (update.number > peer.last_engine_update && room >= kEngineBytes) {
+      EngineDigest engine = update.engine;
+      const absl::Duration left = update.until - now;
       engine.closed_ms = engine.closed_ms == 0 ? 0 : static_cast<uint32_t>(absl::ToInt64Milliseconds(left));
       digest.engines.push_back(engine);
-      peer.told_engines = news.number;
+      peer.last_engine_update = update.number;
       room -= kEngineBytes;
     }
   }
-  for (const CapabilityNews& news : capability_news_) {
-    if (news.number <= peer.told_capabilities || !concerns(news.origin, peer)) {
+  for (const CapabilityUpdate& update : capability_updates_) {
+    if (update.number <= peer.last_capability_update || !isRelevantTo(update.origin, peer)) {
       continue;
     }
     if (room < kCapabilityBytes) {
       break;
     }
-    digest.capabilities.push_back(news.capability);
-    peer.told_capabilities = news.number;
+    digest.capabilities.push_back(update.capability);
+    peer.last_capability_update = update.number;
     room -= kCapabilityBytes;
   }
-  for (const PlacementNews& news : placement_news_) {
-    if (news.number <= peer.told_placements || !concerns(news.origin, peer)) {
+  for (const PlacementUpdate& update : placement_updates_) {
+    if (update.number <= peer.last_placement_update || !isRelevantTo(update.origin, peer)) {
       continue;
     }
-    const size_t bytes = kPlacementBytes + kKeyBytes * news.placement.keys.size();
+    const size_t bytes = kPlacementBytes + kKeyBytes * update.placement.keys.size();
     if (bytes > room) {
       break;
     }
-    digest.placements.push_back(news.placement);
-    peer.told_placements = news.number;
+    digest.placements.push_back(update.placement);
+    peer.last_placement_update = update.number;
     room -= bytes;
   }
   return digest;
 }
 
 // The news go beside the last part of the loads, as far as there is room; what is left of them follows.
-void PeerExchange::tell(const NodeId& id, Peer& peer) {
+void PeerExchange::sendUpdates(const NodeId& id, Peer& peer) {
   const absl::Time now = reactor::steadyNow();
   std::vector<LoadPart> parts =
-      isNear(peer) ? cutIntoParts(ownLoads(), kLoadsADatagram) : std::vector<LoadPart>();
+      isNear(peer) ? splitIntoParts(ownLoads(), kLoadsPerDatagram) : std::vector<LoadPart>();
   for (size_t index = 0; index + 1 < parts.size(); ++index) {
-    PeerDigest digest = emptyDigest();
+    PeerDigest digest = digestHeader();
     digest.load = std::move(parts[index]);
     send(id, peer, digest);
   }
   std::optional<LoadPart> last = parts.empty() ? std::nullopt : std::optional(std::move(parts.back()));
   int datagrams = 0;
   do {
-    send(id, peer, newsFor(peer, std::exchange(last, std::nullopt), now));
+    send(id, peer, updatesFor(peer, std::exchange(last, std::nullopt), now));
     ++datagrams;
-  } while (datagrams < kDatagramsAtOnce && hasPlacementsFor(peer));
-  if (!was_reading_ || !isNear(peer)) {
+  } while (datagrams < kMaxDatagramsPerSend && hasPlacementUpdatesFor(peer));
+  if (!was_zone_reader_ || !isNear(peer)) {
     return;
   }
   for (const auto& [name, zone] : far_zones_) {
-    if (!zone.is_at_first_hand) {
+    if (!zone.is_direct) {
       continue;
     }
     for (const LoadPart& part : zone.parts) {
-      PeerDigest digest = emptyDigest();
+      PeerDigest digest = digestHeader();
       digest.zones.push_back({name, part});
       send(id, peer, digest);
     }
@@ -380,15 +385,15 @@
 }
 
 bool PeerExchange::isLive(const Peer& peer, absl::Time now) const {
-  return now - peer.heard <= silence(isNear(peer));
+  return now - peer.last_received <= silenceTimeout(isNear(peer));
 }
 
-bool PeerExchange::hearsNobody(absl::Time now) const {
+bool PeerExchange::areNearPeersSilent(absl::Time now) const {
   const auto& peers = directory_.peers();
-  const bool hears_any = std::any_of(peers.begin(), peers.end(), [&](const auto& entry) {
+  const bool is_any_live = std::any_of(peers.begin(), peers.end(), [&](const auto& entry) {
     return isNear(entry.second) && isLive(entry.second, now);
   });
-  return near_peers_ > 0 && !hears_any;
+  return near_peers_ > 0 && !is_any_live;
 }
 
 void PeerExchange::sendToAll(peer::PeerModule module, const std::string& payload) {
@@ -400,25 +405,25 @@
   }
 }
 
-bool PeerExchange::hearsReader(absl::Time now) const {
+bool PeerExchange::hasLiveReader(absl::Time now) const {
   const auto& peers = directory_.peers();
   return std::any_of(peers.begin(), peers.end(), [&](const auto& entry) {
     const Peer& peer = entry.second;
-    return isFarReader(peer, now) || (isNear(peer) && peer.reads_well && isLive(peer, now));
+    return isFarReader(peer, now) || (isNear(peer) && peer.is_zone_reader && isLive(peer, now));
   });
 }
 
-void PeerExchange::forgetSilent(absl::Time now) {
+void PeerExchange::expireSilentPeers(absl::Time now) {
   for (auto& [id, peer] : directory_.peers()) {
-    if (peer.heard != absl::InfinitePast() && !isLive(peer, now)) {
+    if (peer.last_received != absl::InfinitePast() && !isLive(peer, now)) {
       core_.log.event("peer_down", now).with("peer", id.value());
-      peer.heard = absl::InfinitePast();
-      peer.reads_well = false;
+      peer.last_received = absl::InfinitePast();
+      peer.is_zone_reader = false;
       core_.directory.forgetPeerLoad(id);
     }
   }
   absl::erase_if(far_zones_, [this, now](const auto& entry) {
-    const bool is_silent = now - entry.second.heard > kFarSilence;
+    const bool is_silent = now - entry.second.last_received > kFarReaderTimeout;
     if (is_silent) {
       core_.directory.forgetFarLoad(ZoneName(entry.first));
     }
--- a/src/gateway/peer_exchange_receive.cc
+++ b/src/gateway/peer_exchange_receive.cc
@@ -22,7 +22,7 @@
 }
 
 // Puts a part in the place of its last one; parts of an account that was cut otherwise are void.
-void keepPart(std::vector<LoadPart>& parts, const LoadPart& part) {
+void replacePart(std::vector<LoadPart>& parts, const LoadPart& part) {
   std::erase_if(parts,
                 [&part](const LoadPart& kept) { return kept.parts != part.parts || kept.part == part.part; });
   parts.push_back(part);
@@ -37,23 +37,23 @@
                                  return;
                                }
                                if (!error) {
-                                 takeDatagram({buffer_.data(), size});
+                                 handleDatagram({buffer_.data(), size});
                                }
                                receive();
                              });
 }
 
-void PeerExchange::takeDatagram(std::string_view bytes) {
+void PeerExchange::handleDatagram(std::string_view bytes) {
   const auto envelope = directory_.authenticator()->open(peer::Channel::kDatagram, bytes);
   if (envelope.has_error()) {
     core_.metrics.countRefusedDatagram();
     return;  // forged or of another site: whoever sends such may not fill the log
   }
   const NodeId& from = envelope.value().sender;
-  const auto taker = takers_.find(envelope.value().module);
-  const Result<void> taken = taker == takers_.end()
+  const auto handler = handlers_.find(envelope.value().module);
+  const Result<void> taken = handler == handlers_.end()
                                  ? fail(ErrorCode::kInvalidArgument, "nothing here takes such messages")
-                                 : taker->second(from, envelope.value().payload);
+                                 : handler->second(from, envelope.value().payload);
   if (taken.has_error()) {
     core_.metrics.countRefusedDatagram();
     core_.log.event("datagram_refused", reactor::steadyNow())
@@ -62,7 +62,7 @@
   }
 }
 
-void PeerExchange::takeDigest(const NodeId& from, const PeerDigest& digest, absl::Time now) {
+void PeerExchange::handleDigest(const NodeId& from, const PeerDigest& digest, absl::Time now) {
   Peer& peer = directory_.peers()[from];
   if (!isLive(peer, now)) {
     core_.log.event("peer_up", now).with("peer", from.value());
@@ -70,63 +70,63 @@
   peer.address = digest.address;
   peer.zone = ZoneName(digest.zone);
   peer.capacity = digest.capacity;
-  peer.reads_well = digest.reads_well;
-  peer.heard = now;
+  peer.is_zone_reader = digest.is_zone_reader;
+  peer.last_received = now;
   core_.budget.noteNodes(std::max<size_t>(digest.gateways_known, directory_.peers().size() + 1));
-  if (digest.gives_orders) {
-    orders_heard_ = now;
+  if (digest.holds_order_lease) {
+    last_order_announcement_ = now;
   }
   if (digest.load) {
     core_.directory.setPeerLoad(from, shareOf(*digest.load), loadsOf(digest.load->loads));
   }
-  takeZones(peer, digest.zones, now);
-  const bool watches_for_us = digest.reads_well && !was_reading_ && directory_.isOwnZone(peer);
-  if (digest.has_news && watches_for_us) {
+  handleZones(peer, digest.zones, now);
+  const bool is_own_zone_reader = digest.is_zone_reader && !was_zone_reader_ && directory_.isOwnZone(peer);
+  if (digest.has_updates && is_own_zone_reader) {
     core_.dead_cache_stores = {digest.dead_stores.begin(), digest.dead_stores.end()};
   }
   // Another reader of the own zone passes on by itself what it hears.
-  const bool is_passed_on = was_reading_ && far_peers_ > 0 && !(isNear(peer) && peer.reads_well);
+  const bool is_forwarded = was_zone_reader_ && far_peers_ > 0 && !(isNear(peer) && peer.is_zone_reader);
   const Origin origin = isNear(peer) ? Origin::kZone : Origin::kFar;
   for (const PlacementDigest& placement : digest.placements) {
     if (const auto server = core_.directory.findByHash(placement.server)) {
       core_.placement.noteKept(server->slot, placement.keys, now);
     }
-    if (is_passed_on) {
+    if (is_forwarded) {
       addPlacement(placement, origin);
     }
   }
   for (const CapabilityDigest& capability : digest.capabilities) {
-    takeCapability(capability, now);
-    if (is_passed_on) {
+    handleCapability(capability, now);
+    if (is_forwarded) {
       addCapability(capability, origin);
     }
   }
   for (const EngineDigest& engine : digest.engines) {
-    takeEngine(engine, now);
+    handleEngine(engine, now);
   }
-  if (digest.seeks_reader && was_reading_ && directory_.isOwnZone(peer)) {
-    tell(from, peer);
+  if (digest.seeks_reader && was_zone_reader_ && directory_.isOwnZone(peer)) {
+    sendUpdates(from, peer);
   }
 }
 
-void PeerExchange::takeZones(const Peer& from, const std::vector<ZoneDigest>& zones, absl::Time now) {
+void PeerExchange::handleZones(const Peer& from, const std::vector<ZoneDigest>& zones, absl::Time now) {
   for (const ZoneDigest& zone : zones) {
     if (zone.zone == core_.settings.zone.value()) {
       continue;
     }
     core_.directory.setFarLoad(ZoneName(zone.zone), shareOf(zone.load), loadsOf(zone.load.loads));
     FarZone& far = far_zones_[zone.zone];
-    far.heard = now;
-    far.is_at_first_hand = from.zone.value() == zone.zone;
-    if (far.is_at_first_hand) {
-      keepPart(far.parts, zone.load);
+    far.last_received = now;
+    far.is_direct = from.zone.value() == zone.zone;
+    if (far.is_direct) {
+      replacePart(far.parts, zone.load);
     } else {
       far.parts.clear();
     }
   }
 }
 
-void PeerExchange::takeCapability(const CapabilityDigest& capability, absl::Time now) {
+void PeerExchange::handleCapability(const CapabilityDigest& capability, absl::Time now) {
   const auto server = core_.directory.findByHash(capability.server);
   const auto read = capabilityFrom(capability.capability);
   if (server != nullptr && read.has_value()) {
@@ -134,7 +134,7 @@
   }
 }
 
-void PeerExchange::takeEngine(const EngineDigest& engine, absl::Time now) {
+void PeerExchange::handleEngine(const EngineDigest& engine, absl::Time now) {
   const auto server = core_.directory.findByHash(engine.server);
   if (server == nullptr) {
     return;
--- a/src/gateway/crash_record.cc
+++ b/src/gateway/quarantine_record.cc
@@ -1,4 +1,4 @@
-#include "gateway/crash_record.h"
+#include "gateway/quarantine_record.h"
 
 #include <utility>
 
@@ -6,15 +6,15 @@
 namespace {
 
 // Rows of the table: what callers send must not fill the store.
-constexpr uint32_t kRowsAtMost = 256;
+constexpr uint32_t kMaxRows = 256;
 // The key says all. A constant of this type, for g++ 12 warns of an overlap in assigned literals.
 const std::string kValue = "blamed";
-constexpr absl::Duration kRetryPause = absl::Seconds(2);
+constexpr absl::Duration kRetryDelay = absl::Seconds(2);
 
 }  // namespace
 
-void CrashRecord::write(const forwarding::RequestIdentity& identity) {
-  if (known_.size() >= kRowsAtMost && !known_.contains(identity)) {
+void QuarantineRecord::write(const forwarding::RequestIdentity& identity) {
+  if (known_.size() >= kMaxRows && !known_.contains(identity)) {
     core_.log.event("crash_not_recorded", reactor::steadyNow())
         .with("same_as", forwarding::printIdentity(identity))
         .with("why", "the table is full");
@@ -28,19 +28,19 @@
   store_.write(row, 0, [this, identity](StoreStatus status, const forwarding::StoreRows& /*rows*/) {
     const bool is_settled = status == StoreStatus::kDone || status == StoreStatus::kConflict;
     if (!is_settled) {
-      core_.timers.schedule(reactor::steadyNow() + kRetryPause, [this, identity] { write(identity); });
+      core_.timers.schedule(reactor::steadyNow() + kRetryDelay, [this, identity] { write(identity); });
     }
   });
 }
 
-void CrashRecord::read(Found found) {
-  store_.read(kTable, "", kRowsAtMost,
-              [this, found = std::move(found)](StoreStatus status, const forwarding::StoreRows& answer) {
+void QuarantineRecord::read(Found found) {
+  store_.read(kTable, "", kMaxRows,
+              [this, found = std::move(found)](StoreStatus status, const forwarding::StoreRows& response) {
                 if (status != StoreStatus::kDone) {
-                  readAgain(found);
+                  retryRead(found);
                   return;
                 }
-                for (const forwarding::StoreRow& row : answer.rows) {
+                for (const forwarding::StoreRow& row : response.rows) {
                   const auto identity = forwarding::parseIdentity(row.key);
                   if (identity) {
                     known_.insert(*identity);
@@ -52,8 +52,8 @@
               });
 }
 
-void CrashRecord::readAgain(Found found) {
-  core_.timers.schedule(reactor::steadyNow() + kRetryPause,
+void QuarantineRecord::retryRead(Found found) {
+  core_.timers.schedule(reactor::steadyNow() + kRetryDelay,
                         [this, found = std::move(found)] { read(found); });
 }
 
--- a/src/gateway/crash_record.h
+++ b/src/gateway/quarantine_record.h
@@ -13,9 +13,9 @@
 
 namespace quincewick::gateway {
 
-class CrashRecord {
+class QuarantineRecord {
  public:
-  explicit CrashRecord(Core& core) : core_(core), store_(core), refused_rows_(core, kTable) {}
+  explicit QuarantineRecord(Core& core) : core_(core), store_(core), refused_rows_(core, kTable) {}
 
   static constexpr const char* kTable = "gateway-crashes";
 
@@ -26,7 +26,7 @@
   void read(Found found);
 
  private:
-  void readAgain(Found found);
+  void retryRead(Found found);
 
   Core& core_;
   StoreClient store_;
--- a/src/gateway/quota_exchange.cc
+++ b/src/gateway/quota_exchange.cc
@@ -21,15 +21,15 @@
       quotas_(core.settings.gateway_id, tolerance, std::move(limit_of), unanswered) {}
 
 void QuotaExchange::start() {
-  peers_.setTaker(module_,
-                  [this](const NodeId& from, std::string_view payload) { return take(from, payload); });
+  peers_.setMessageHandler(
+      module_, [this](const NodeId& from, std::string_view payload) { return take(from, payload); });
   beat();
 }
 
 void QuotaExchange::beat() {
   const absl::Time now = reactor::steadyNow();
-  quotas_.setMembers(directory_.keeperMembers());
-  quotas_.noteBeat(!directory_.peers().empty() && peers_.hearsNobody(now), now);
+  quotas_.setMembers(directory_.ownerCandidates());
+  quotas_.noteBeat(!directory_.peers().empty() && peers_.areNearPeersSilent(now), now);
   core_.timers.schedule(now + kBeatInterval, [this] { beat(); });
 }
 
--- a/src/gateway/refused_rows.cc
+++ b/src/gateway/refused_rows.cc
@@ -6,12 +6,12 @@
 namespace {
 
 // More are forgotten, and told once more: a writer of endless keys may not fill this process.
-constexpr size_t kRowsAtMost = 1'024;
+constexpr size_t kMaxRows = 1'024;
 
 }  // namespace
 
 void RefusedRows::note(const std::string& key, const std::string& why) {
-  if (refused_.size() >= kRowsAtMost) {
+  if (refused_.size() >= kMaxRows) {
     refused_.clear();
   }
   const auto [place, is_new] = refused_.try_emplace(key, why);
--- a/src/gateway/relay_follower.cc
+++ b/src/gateway/relay_follower.cc
@@ -7,9 +7,9 @@
 namespace quincewick::gateway {
 namespace {
 
-constexpr absl::Duration kAnswerLimit = absl::Milliseconds(700);  // beyond the wait
+constexpr absl::Duration kResponseTimeout = absl::Milliseconds(700);  // beyond the wait
 // The same for all rows, which a whole zone may be waiting for.
-constexpr absl::Duration kWholeAnswerLimit = absl::Seconds(4);
+constexpr absl::Duration kSnapshotTimeout = absl::Seconds(4);
 constexpr int kOk = 200;
 
 }  // namespace
@@ -20,11 +20,11 @@
   after_ = after;
   readings_ = 0;
   caller_ = std::make_unique<reactor::HttpCaller>(core_.reactor, core_.timers, address);
-  ask();
+  sendRequest();
 }
 
 void RelayFollower::stop() {
-  ++turn_;
+  ++generation_;
   if (caller_ == nullptr) {
     return;
   }
@@ -33,62 +33,63 @@
                         [caller = std::shared_ptr<reactor::HttpCaller>(std::move(caller_))] {});
 }
 
-void RelayFollower::ask() {
+void RelayFollower::sendRequest() {
   peer::Authenticator* const authenticator = peers_.authenticator();
   if (authenticator == nullptr) {
-    giveUp();
+    failPeer();
     return;
   }
   const absl::Time now = reactor::steadyNow();
-  const RelayQuestion question{table_, after_, readings_, wait_};
+  const RelayRequest request{table_, after_, readings_, wait_};
   auto sealed = authenticator->seal(peer::Channel::kRequest, peer_, peer::PeerModule::kRouting,
-                                    encodeRelayQuestion(question));
+                                    encodeRelayRequest(request));
   HttpCall call{"POST", kPackedPath, {}, std::move(sealed.bytes)};
-  caller_->call(
-      std::move(call), wait_ + (after_ == 0 ? kWholeAnswerLimit : kAnswerLimit),
-      [this, now, turn = turn_, sequence = sealed.sequence](const Result<reactor::HttpReply>& reply) {
-        if (turn == turn_) {
-          takeAnswer(reply, sequence, now);
-        }
-      });
+  caller_->call(std::move(call), wait_ + (after_ == 0 ? kSnapshotTimeout : kResponseTimeout),
+                [this, now, generation = generation_,
+                 sequence = sealed.sequence](const Result<reactor::HttpReply>& reply) {
+                  if (generation == generation_) {
+                    handleResponse(reply, sequence, now);
+                  }
+                });
 }
 
-void RelayFollower::takeAnswer(const Result<reactor::HttpReply>& reply, Sequence sequence, absl::Time asked) {
+void RelayFollower::handleResponse(const Result<reactor::HttpReply>& reply, Sequence sequence,
+                                   absl::Time sent_at) {
   if (reply.has_error() || reply.value().head.status != kOk) {
-    giveUp();
+    failPeer();
     return;
   }
   const auto envelope = peers_.authenticator()->open(peer::Channel::kResponse, reply.value().body, sequence);
   if (envelope.has_error() || envelope.value().sender != peer_) {
-    giveUp();
+    failPeer();
     return;
   }
-  auto answer = decodeEitherAnswer(envelope.value().payload);
-  if (answer.has_error()) {
-    giveUp();
+  auto response = decodeAnyRelayResponse(envelope.value().payload);
+  if (response.has_error()) {
+    failPeer();
     return;
   }
-  after_ = std::max(after_, answer.value().version);
-  readings_ = answer.value().readings;
-  forwarding::TableNews news;
-  news.rows = std::move(answer.value().rows);
-  news.is_whole = answer.value().is_whole;
-  news.version = answer.value().version;
+  after_ = std::max(after_, response.value().version);
+  readings_ = response.value().readings;
+  forwarding::TableNews update;
+  update.rows = std::move(response.value().rows);
+  update.is_whole = response.value().is_whole;
+  update.version = response.value().version;
   // The question came after it was asked, so the answer was made then or later.
-  const absl::Time made = asked + answer.value().held_for;
-  news.confirmed = made - answer.value().confirmed_ago;
-  news.as_of = made - answer.value().as_of_ago;
-  const uint64_t turn = turn_;
-  news_(news);
-  if (turn == turn_) {
-    ask();
+  const absl::Time created_at = sent_at + response.value().held_for;
+  update.confirmed = created_at - response.value().confirmed_ago;
+  update.as_of = created_at - response.value().as_of_ago;
+  const uint64_t generation = generation_;
+  on_update_(update);
+  if (generation == generation_) {
+    sendRequest();
   }
 }
 
-void RelayFollower::giveUp() {
+void RelayFollower::failPeer() {
   const NodeId peer = peer_;
   stop();
-  failed_(peer);
+  on_failure_(peer);
 }
 
 }  // namespace quincewick::gateway
--- a/src/gateway/relay_follower.h
+++ b/src/gateway/relay_follower.h
@@ -17,40 +17,40 @@
 
 class RelayFollower {
  public:
-  using News = std::function<void(const forwarding::TableNews& news)>;
+  using UpdateHandler = std::function<void(const forwarding::TableNews& update)>;
   // The peer gave no answer, or one that is no use.
-  using Failed = std::function<void(const NodeId& peer)>;
+  using FailureHandler = std::function<void(const NodeId& peer)>;
 
   // `wait`: how long the peer holds a question that it has no news for.
-  RelayFollower(Core& core, PeerDirectory& peers, std::string table, absl::Duration wait, News news,
-                Failed failed)
+  RelayFollower(Core& core, PeerDirectory& peers, std::string table, absl::Duration wait,
+                UpdateHandler update, FailureHandler on_failure)
       : core_(core),
         peers_(peers),
         table_(std::move(table)),
         wait_(wait),
-        news_(std::move(news)),
-        failed_(std::move(failed)) {}
+        on_update_(std::move(update)),
+        on_failure_(std::move(on_failure)) {}
 
   // Follows that peer from now on; `after`: the version that is known.
   void follow(const NodeId& peer, const Address& address, uint64_t after);
   void stop();
 
  private:
-  void ask();
-  void takeAnswer(const Result<reactor::HttpReply>& reply, Sequence sequence, absl::Time asked);
-  void giveUp();
+  void sendRequest();
+  void handleResponse(const Result<reactor::HttpReply>& reply, Sequence sequence, absl::Time sent_at);
+  void failPeer();
 
   Core& core_;
   PeerDirectory& peers_;
   std::string table_;
   absl::Duration wait_;
-  News news_;
-  Failed failed_;
+  UpdateHandler on_update_;
+  FailureHandler on_failure_;
   NodeId peer_;
   std::unique_ptr<reactor::HttpCaller> caller_;  // null: nobody is followed
   uint64_t after_ = 0;
   uint64_t readings_ = 0;
-  uint64_t turn_ = 0;  // rises with each peer that is followed
+  uint64_t generation_ = 0;  // rises with each peer that is followed
 };
 
 }  // namespace quincewick::gateway
--- a/src/gateway/relay_messages.cc
+++ b/src/gateway/relay_messages.cc
@@ -8,15 +8,15 @@
 
 namespace {
 
-constexpr uint32_t kLongestKey = 1024;
-constexpr uint32_t kLongestValue = 8U << 20;
+constexpr uint32_t kMaxKeyBytes = 1024;
+constexpr uint32_t kMaxValueBytes = 8U << 20;
 
 }  // namespace
 
 template <class Archive>
 void serialize(Archive& archive, StoreRow& row) {
-  archiveText(archive, row.key, kLongestKey);
-  archiveText(archive, row.value, kLongestValue);
+  archiveText(archive, row.key, kMaxKeyBytes);
+  archiveText(archive, row.value, kMaxValueBytes);
   archive(row.version, row.is_gone);
 }
 
@@ -25,31 +25,31 @@
 namespace quincewick::gateway {
 namespace {
 
-constexpr uint32_t kLongestTable = 256;
-constexpr uint32_t kRowsAtMost = 100'000;
-constexpr uint32_t kLargestPacked = 4U << 20;
+constexpr uint32_t kMaxTableName = 256;
+constexpr uint32_t kMaxRows = 100'000;
+constexpr uint32_t kMaxPackedBytes = 4U << 20;
 // An archive begins with its byte order, 0 or 1.
 constexpr char kPackedMark = 'P';
 
 }  // namespace
 
 template <class Archive>
-void serialize(Archive& archive, RelayQuestion& question) {
-  archiveText(archive, question.table, kLongestTable);
-  archive(question.after, question.readings, question.wait);
+void serialize(Archive& archive, RelayRequest& request) {
+  archiveText(archive, request.table, kMaxTableName);
+  archive(request.after, request.readings, request.wait);
 }
 
 template <class Archive>
-void serialize(Archive& archive, RelayAnswer& answer) {
-  archiveList(archive, answer.rows, kRowsAtMost);
-  archive(answer.is_whole, answer.version, answer.readings, answer.confirmed_ago, answer.as_of_ago,
-          answer.held_for);
+void serialize(Archive& archive, RelayResponse& response) {
+  archiveList(archive, response.rows, kMaxRows);
+  archive(response.is_whole, response.version, response.readings, response.confirmed_ago, response.as_of_ago,
+          response.held_for);
 }
 
 template <class Archive>
-void serialize(Archive& archive, PackedRelayAnswer& answer) {
-  archive(answer.answer);
-  archiveText(archive, answer.packed, kLargestPacked);
+void serialize(Archive& archive, PackedRelayResponse& response) {
+  archive(response.response);
+  archiveText(archive, response.packed, kMaxPackedBytes);
 }
 
 // Rows alone, as an archive of their own.
@@ -58,7 +58,7 @@
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archiveList(archive, rows, kRowsAtMost);
+    archiveList(archive, rows, kMaxRows);
   }
 };
 
@@ -71,34 +71,34 @@
   return std::move(list.rows);
 }
 
-std::string encodePackedAnswer(const PackedRelayAnswer& answer) {
-  return kPackedMark + encodeArchive(answer);
+std::string encodePackedResponse(const PackedRelayResponse& response) {
+  return kPackedMark + encodeArchive(response);
 }
 
-Result<RelayAnswer> decodeEitherAnswer(std::string_view bytes) {
+Result<RelayResponse> decodeAnyRelayResponse(std::string_view bytes) {
   if (!bytes.starts_with(kPackedMark)) {
-    return decodeRelayAnswer(bytes);
+    return decodeRelayResponse(bytes);
   }
-  BOOST_OUTCOME_TRY(packed, decodeArchive<PackedRelayAnswer>(bytes.substr(1)));
+  BOOST_OUTCOME_TRY(packed, decodeArchive<PackedRelayResponse>(bytes.substr(1)));
   BOOST_OUTCOME_TRY(rows, unpackRows(packed.packed));
-  packed.answer.rows = std::move(rows);
-  return std::move(packed.answer);
+  packed.response.rows = std::move(rows);
+  return std::move(packed.response);
 }
 
-std::string encodeRelayQuestion(const RelayQuestion& question) {
-  return encodeArchive(question);
+std::string encodeRelayRequest(const RelayRequest& request) {
+  return encodeArchive(request);
 }
 
-std::string encodeRelayAnswer(const RelayAnswer& answer) {
-  return encodeArchive(answer);
+std::string encodeRelayResponse(const RelayResponse& response) {
+  return encodeArchive(response);
 }
 
-Result<RelayQuestion> decodeRelayQuestion(std::string_view bytes) {
-  return decodeArchive<RelayQuestion>(bytes);
+Result<RelayRequest> decodeRelayRequest(std::string_view bytes) {
+  return decodeArchive<RelayRequest>(bytes);
 }
 
-Result<RelayAnswer> decodeRelayAnswer(std::string_view bytes) {
-  return decodeArchive<RelayAnswer>(bytes);
+Result<RelayResponse> decodeRelayResponse(std::string_view bytes) {
+  return decodeArchive<RelayResponse>(bytes);
 }
 
 }  // namespace quincewick::gateway
--- a/src/gateway/relay_messages.h
+++ b/src/gateway/relay_messages.h
@@ -16,16 +16,16 @@
 
 // "What changed in the table since?" The answer is held until there is something to tell, or the wait is
 // over.
-struct RelayQuestion {
+struct RelayRequest {
   std::string table;
   uint64_t after = 0;     // version that the asker has; 0: all rows, please
   uint64_t readings = 0;  // of the peer that the asker knows of: a newer one is worth an answer
   absl::Duration wait;
 
-  friend bool operator==(const RelayQuestion&, const RelayQuestion&) = default;
+  friend bool operator==(const RelayRequest&, const RelayRequest&) = default;
 };
 
-struct RelayAnswer {
+struct RelayResponse {
   std::vector<forwarding::StoreRow> rows;
   bool is_whole = false;
   uint64_t version = 0;
@@ -40,8 +40,8 @@
 
 // The same answer with its rows packed (packed_rows.h), for those who ask at kPackedPath. Gateways of an
 // earlier build don't: they ask at kPlainPath, and answer a question at either path with a plain answer.
-struct PackedRelayAnswer {
-  RelayAnswer answer;  // without rows
+struct PackedRelayResponse {
+  RelayResponse response;  // without rows
   std::string packed;
 };
 inline constexpr const char* kPlainPath = "/rows";
@@ -49,14 +49,14 @@
 
 std::string encodeRows(const std::vector<forwarding::StoreRow>& rows);
 Result<std::vector<forwarding::StoreRow>> decodeRows(std::string_view bytes);
-std::string encodePackedAnswer(const PackedRelayAnswer& answer);
+std::string encodePackedResponse(const PackedRelayResponse& response);
 // Takes a packed answer or a plain one. Errors: kInvalidArgument.
-Result<RelayAnswer> decodeEitherAnswer(std::string_view bytes);
+Result<RelayResponse> decodeAnyRelayResponse(std::string_view bytes);
 
-std::string encodeRelayQuestion(const RelayQuestion& question);
-std::string encodeRelayAnswer(const RelayAnswer& answer);
+std::string encodeRelayRequest(const RelayRequest& request);
+std::string encodeRelayResponse(const RelayResponse& response);
 // Decode untrusted bytes. Errors: kInvalidArgument.
-Result<RelayQuestion> decodeRelayQuestion(std::string_view bytes);
-Result<RelayAnswer> decodeRelayAnswer(std::string_view bytes);
+Result<RelayRequest> decodeRelayRequest(std::string_view bytes);
+Result<RelayResponse> decodeRelayResponse(std::string_view bytes);
 
 }  // namespace quincewick::gateway
--- a/src/gateway/rollout_director.h
+++ b/src/gateway/rollout_controller.h
@@ -10,7 +10,7 @@
 #include <utility>
 
 #include "gateway/core.h"
-#include "gateway/lease_keeper.h"
+#include "gateway/lease_client.h"
 #include "gateway/peer_directory.h"
 #include "gateway/peer_exchange.h"
 #include "gateway/rollout_exchange.h"
@@ -19,57 +19,57 @@
 
 namespace quincewick::gateway {
 
-class RolloutDirector {
+class RolloutController {
  public:
-  RolloutDirector(Core& core, PeerDirectory& directory, PeerExchange& peers, RolloutExchange& rollouts);
+  RolloutController(Core& core, PeerDirectory& directory, PeerExchange& peers, RolloutExchange& rollouts);
 
   // `reads_store`: whether this gateway reads the store for its zone now; only such ones decide.
   void start(std::function<bool()> reads_store);
 
  private:
   // What a gateway told last of one rollout.
-  struct Told {
-    uint64_t life = 0;
+  struct AccountReport {
+    uint64_t incarnation = 0;
     uint64_t confirmed_row = 0;
-    absl::Time heard = absl::InfinitePast();
+    absl::Time last_received = absl::InfinitePast();
     staged_rollout::AnswerAccount counts;
   };
   // What this gateway knows as the decider of one service's rollout; all of it comes again from accounts.
-  struct Judged {
+  struct Evaluation {
     staged_rollout::RolloutRecord record;  // as it was judged last
     staged_rollout::VersionVerdict verdict;
-    absl::btree_map<NodeId, Told> told;
-    bool is_write_under_way = false;
-    int stops_told = 0;
+    absl::btree_map<NodeId, AccountReport> reports;
+    bool is_write_pending = false;
+    int stop_notices_sent = 0;
   };
   using State = RolloutExchange::ServiceState;
 
   void tick();
-  bool isNeeded() const;
-  bool isOpen(const State& state) const;
-  absl::Duration turn(absl::Time now) const;
-  void takeAccount(const NodeId& from, const RolloutAccount& account);
-  Judged& judgedOf(const forwarding::ServiceName& service, const State& state);
-  void direct(const forwarding::ServiceName& service, State& state, absl::Time now);
-  void writeFirst(const forwarding::ServiceName& service, State& state);
-  staged_rollout::Situation situationOf(State& state, const Judged& judged, absl::Time now) const;
-  void noteConfirmations(const State& state, const Judged& judged, absl::Time now,
+  bool isLeaseNeeded() const;
+  bool needsDecision(const State& state) const;
+  absl::Duration leaseTurnDelay(absl::Time now) const;
+  void handleAccount(const NodeId& from, const RolloutAccount& account);
+  Evaluation& evaluationOf(const forwarding::ServiceName& service, const State& state);
+  void advance(const forwarding::ServiceName& service, State& state, absl::Time now);
+  void writeInitialRecord(const forwarding::ServiceName& service, State& state);
+  staged_rollout::Situation situationOf(State& state, const Evaluation& evaluation, absl::Time now) const;
+  void noteConfirmations(const State& state, const Evaluation& evaluation, absl::Time now,
                          staged_rollout::Situation& situation) const;
   void write(staged_rollout::RolloutRecord record, uint64_t expected_row);
-  void readAgain(const forwarding::ServiceName& service);
-  void takeReadAgain(const staged_rollout::KnownRecord& known);
-  void takeWritten(const staged_rollout::KnownRecord& known);
-  void tellAll(const staged_rollout::RolloutNotice& notice);
-  void tellInTurn(const staged_rollout::RolloutNotice& notice);
+  void rereadRecord(const forwarding::ServiceName& service);
+  void handleReread(const staged_rollout::KnownRecord& known);
+  void handleWriteResult(const staged_rollout::KnownRecord& known);
+  void notifyAll(const staged_rollout::RolloutNotice& notice);
+  void notifyInTurn(const staged_rollout::RolloutNotice& notice);
 
   Core& core_;
   PeerDirectory& directory_;
   PeerExchange& peers_;
   RolloutExchange& rollouts_;
   StoreClient store_;
-  LeaseKeeper lease_;
+  LeaseClient lease_;
   std::function<bool()> reads_store_ = [] { return false; };
-  absl::btree_map<forwarding::ServiceName, Judged> judged_;
+  absl::btree_map<forwarding::ServiceName, Evaluation> evaluations_;
   uint64_t ticks_ = 0;
 };
 
--- a/src/gateway/rollout_exchange.cc
+++ b/src/gateway/rollout_exchange.cc
@@ -18,8 +18,8 @@
 using staged_rollout::RolloutStage;
 using staged_rollout::Side;
 
-constexpr absl::Duration kTick = absl::Milliseconds(100);
-constexpr absl::Duration kTellEvery = absl::Milliseconds(500);
+constexpr absl::Duration kTickInterval = absl::Milliseconds(100);
+constexpr absl::Duration kAccountInterval = absl::Milliseconds(500);
 
 }  // namespace
 
@@ -28,11 +28,12 @@
       peers_(peers),
       refused_records_(core, kTable),
       refused_requests_(core, core.dialect->tables().configuration),
-      life_(absl::Uniform<uint64_t>(core.random, 1, std::numeric_limits<uint64_t>::max())) {}
+      incarnation_(absl::Uniform<uint64_t>(core.random, 1, std::numeric_limits<uint64_t>::max())) {}
 
 void RolloutExchange::start() {
-  peers_.setTaker(peer::PeerModule::kStagedRollouts,
-                  [this](const NodeId& from, std::string_view payload) { return take(from, payload); });
+  peers_.setMessageHandler(
+      peer::PeerModule::kStagedRollouts,
+      [this](const NodeId& from, std::string_view payload) { return handleMessage(from, payload); });
   tick();
 }
 
@@ -45,12 +46,12 @@
     }
     if (state.gate.isRunning()) {
       noteConfirmed(state);
-      if (now - state.told >= kTellEvery) {
-        tellAccount(service, state, now);
+      if (now - state.account_sent_at >= kAccountInterval) {
+        sendAccount(service, state, now);
       }
     }
   }
-  core_.timers.schedule(now + kTick, [this] { tick(); });
+  core_.timers.schedule(now + kTickInterval, [this] { tick(); });
 }
 
 void RolloutExchange::addServices() {
@@ -74,7 +75,7 @@
                      [](const auto& entry) { return entry.second.gate.isRunning(); });
 }
 
-void RolloutExchange::takeOperatorsRow(const forwarding::StoreRow& row) {
+void RolloutExchange::handleOperatorRow(const forwarding::StoreRow& row) {
   staged_rollout::OperatorsRow taken;
   taken.row = row.version;
   taken.is_gone = row.is_gone;
@@ -109,7 +110,7 @@
   for (auto& [service, state] : services_) {
     state.gate.confirmRecord(news.as_of);
   }
-  knows_records_ = knows_records_ || news.is_whole;
+  has_records_ = has_records_ || news.is_whole;
 }
 
 void RolloutExchange::takeRecord(const forwarding::StoreRow& row, absl::Time as_of) {
@@ -145,7 +146,7 @@
   if (before != nullptr && before->row == known.row) {
     return;
   }
-  state.account_of = known.record.request_row;
+  state.account_request_row = known.record.request_row;
   if (before == nullptr || !known.record.isSameRollout(before->record)) {
     state.account = {};
   }
@@ -163,12 +164,12 @@
 
 void RolloutExchange::noteConfirmed(ServiceState& state) {
   const KnownRecord& known = *state.gate.known();
-  const auto running = state.under_way.find(known.record.base);
-  const bool is_empty = running == state.under_way.end() || running->second == 0;
+  const auto running = state.attempts_in_progress.find(known.record.base);
+  const bool is_empty = running == state.attempts_in_progress.end() || running->second == 0;
   const bool confirms = known.record.stage == RolloutStage::kFinishing && is_empty;
   if (confirms && state.confirmed_row != known.row) {
     state.confirmed_row = known.row;
-    tellAccount(known.record.service, state, reactor::steadyNow());
+    sendAccount(known.record.service, state, reactor::steadyNow());
   }
 }
 
@@ -176,32 +177,32 @@
   const ServiceState& state = stateOf(service);
   RolloutAccount account;
   account.service = service;
-  account.request_row = state.account_of;
-  account.life = life_;
+  account.request_row = state.account_request_row;
+  account.incarnation = incarnation_;
   account.confirmed_row = state.confirmed_row;
   account.counts = state.account;
   return account;
 }
 
-void RolloutExchange::tellAccount(const ServiceName& service, ServiceState& state, absl::Time now) {
-  state.told = now;
+void RolloutExchange::sendAccount(const ServiceName& service, ServiceState& state, absl::Time now) {
+  state.account_sent_at = now;
   const RolloutAccount account = accountOf(service);
-  take_account_(core_.settings.gateway_id, account);
+  account_handler_(core_.settings.gateway_id, account);
   if (state.decider.empty() || state.decider == core_.settings.gateway_id) {
     return;
   }
-  for (const RolloutAccount& part : cutIntoDatagrams(account)) {
+  for (const RolloutAccount& part : splitIntoDatagrams(account)) {
     peers_.sendTo(state.decider, peer::PeerModule::kStagedRollouts,
                   encodeRolloutMessage({std::nullopt, part}));
   }
 }
 
-Result<void> RolloutExchange::take(const NodeId& from, std::string_view payload) {
+Result<void> RolloutExchange::handleMessage(const NodeId& from, std::string_view payload) {
   BOOST_OUTCOME_TRY(message, decodeRolloutMessage(payload));
   if (message.notice) {
     takeNotice(from, *message.notice);
   } else {
-    take_account_(from, *message.account);
+    account_handler_(from, *message.account);
   }
   return outcome::success();
 }
@@ -215,19 +216,19 @@
   return versions;
 }
 
-std::optional<SoftwareVersion> RolloutExchange::choose(const Asked& asked) {
-  ServiceState& state = stateOf(asked.service);
+std::optional<SoftwareVersion> RolloutExchange::choose(const VersionRequest& request) {
+  ServiceState& state = stateOf(request.service);
   if (!state.gate.known()) {
-    state.gate.noteListed(listedVersions(asked.service));
+    state.gate.noteListed(listedVersions(request.service));
     return state.gate.base();
   }
   const absl::Time now = reactor::steadyNow();
   const absl::Duration clock = core_.storeClock(now).value_or(absl::InfiniteDuration());
   const KnownRecord& known = *state.gate.known();
-  if (asked.is_repeat && state.gate.mayUse(known.record.base, clock, now)) {
+  if (request.is_repeat && state.gate.mayUse(known.record.base, clock, now)) {
     return known.record.base;
   }
-  const auto side = state.gate.choose(hashOf(asked.route), asked.place, clock, now);
+  const auto side = state.gate.choose(hashOf(request.route), request.place, clock, now);
   if (!side) {
     return std::nullopt;
   }
@@ -274,25 +275,25 @@
 }
 
 void RolloutExchange::noteSent(const forwarding::Server& server) {
-  ++stateOf(server.entry.service).under_way[server.entry.software];
+  ++stateOf(server.entry.service).attempts_in_progress[server.entry.software];
 }
 
 void RolloutExchange::noteOver(const forwarding::Server& server, std::string_view route, bool was_crowded,
-                               End end, absl::Duration took) {
+                               AttemptOutcome end, absl::Duration took) {
   ServiceState& state = stateOf(server.entry.service);
-  uint32_t& under_way = state.under_way[server.entry.software];
-  under_way -= std::min(under_way, 1U);
+  uint32_t& attempts_in_progress = state.attempts_in_progress[server.entry.software];
+  attempts_in_progress -= std::min(attempts_in_progress, 1U);
   if (!state.gate.isRunning()) {
     return;
   }
   const staged_rollout::RolloutRecord& record = state.gate.known()->record;
   const bool is_target = server.entry.software == record.target;
-  if ((!is_target && server.entry.software != record.base) || end == End::kNothing) {
+  if ((!is_target && server.entry.software != record.base) || end == AttemptOutcome::kUncounted) {
     return;
   }
   const Side side = is_target ? Side::kTarget : Side::kBase;
   const staged_rollout::Stratum stratum{hashOf(route), was_crowded};
-  if (end == End::kAnswered) {
+  if (end == AttemptOutcome::kAnswered) {
     state.account.noteAnswer(side, stratum, took);
   } else {
     state.account.noteFailure(side, stratum);
--- a/src/gateway/rollout_messages.cc
+++ b/src/gateway/rollout_messages.cc
@@ -13,14 +13,14 @@
 using staged_rollout::Side;
 using staged_rollout::Stratum;
 
-constexpr uint8_t kForm = 1;
-constexpr uint32_t kLongestName = 200;
-constexpr uint32_t kLongestRecord = 1024;
-constexpr uint32_t kStrataAtMost = 64;  // of one datagram
+constexpr uint8_t kFormatVersion = 1;
+constexpr uint32_t kMaxNameBytes = 200;
+constexpr uint32_t kMaxRecordBytes = 1024;
+constexpr uint32_t kMaxStrata = 64;  // of one datagram
 // A stratum takes up to 17 bytes, and 5 for each class of times that has answers.
 constexpr size_t kStratumBytes = 18;
-constexpr size_t kTimeBytes = 5;
-constexpr size_t kRoom = 700;
+constexpr size_t kTimeClassBytes = 5;
+constexpr size_t kDatagramBudgetBytes = 700;
 
 // Counts of a class of times, the classes without any left out.
 struct TimeCount {
@@ -75,14 +75,14 @@
 template <class Archive>
 void archiveCounts(Archive& archive, CountsByStratum& counts) {
   std::vector<StratumCounts> list = listOf(counts);
-  archiveList(archive, list, kStrataAtMost);
+  archiveList(archive, list, kMaxStrata);
   counts = countsFrom(list);
 }
 
 size_t bytesOf(const AnswerCounts& counts) {
   const auto classes =
       std::count_if(counts.times.begin(), counts.times.end(), [](uint32_t answers) { return answers > 0; });
-  return kStratumBytes + kTimeBytes * static_cast<size_t>(classes);
+  return kStratumBytes + kTimeClassBytes * static_cast<size_t>(classes);
 }
 
 }  // namespace
@@ -90,9 +90,9 @@
 template <class Archive>
 void serialize(Archive& archive, RolloutAccount& account) {
   std::string service = account.service.value();
-  archiveText(archive, service, kLongestName);
+  archiveText(archive, service, kMaxNameBytes);
   account.service = staged_rollout::ServiceName(service);
-  archive(account.request_row, account.life, account.confirmed_row);
+  archive(account.request_row, account.incarnation, account.confirmed_row);
   archiveCounts(archive, account.counts.base);
   archiveCounts(archive, account.counts.target);
 }
@@ -100,7 +100,7 @@
 template <class Archive>
 void archiveNotice(Archive& archive, staged_rollout::RolloutNotice& notice) {
   std::string record = encodeRecord(notice.known.record);
-  archiveText(archive, record, kLongestRecord);
+  archiveText(archive, record, kMaxRecordBytes);
   if constexpr (Archive::is_loading::value) {
     const auto read = staged_rollout::decodeRecord(record);
     if (read.has_error()) {
@@ -113,9 +113,9 @@
 
 template <class Archive>
 void serialize(Archive& archive, RolloutMessage& message) {
-  uint8_t form = kForm;
-  archive(form);
-  if (form != kForm) {
+  uint8_t format_version = kFormatVersion;
+  archive(format_version);
+  if (format_version != kFormatVersion) {
     throw cereal::Exception("a form that is not known");
   }
   bool is_notice = message.notice.has_value();
@@ -131,17 +131,17 @@
   }
 }
 
-std::vector<RolloutAccount> cutIntoDatagrams(const RolloutAccount& account) {
+std::vector<RolloutAccount> splitIntoDatagrams(const RolloutAccount& account) {
   RolloutAccount empty = account;
   empty.counts = {};
   std::vector<RolloutAccount> parts = {empty};
-  size_t room = kRoom;
+  size_t room = kDatagramBudgetBytes;
   for (const Side side : {Side::kBase, Side::kTarget}) {
     for (const auto& [stratum, counts] : account.counts.of(side)) {
       const size_t bytes = bytesOf(counts);
       if (bytes > room) {
         parts.push_back(empty);
-        room = kRoom;
+        room = kDatagramBudgetBytes;
       }
       parts.back().counts.of(side)[stratum] = counts;
       room -= bytes;
--- a/src/gateway/rollout_messages.h
+++ b/src/gateway/rollout_messages.h
@@ -17,7 +17,7 @@
 struct RolloutAccount {
   staged_rollout::ServiceName service;
   uint64_t request_row = 0;    // of the rollout that it is about
-  uint64_t life = 0;           // differs with each start of the gateway: counts begin anew
+  uint64_t incarnation = 0;    // differs with each start of the gateway: counts begin anew
   uint64_t confirmed_row = 0;  // nothing of the gateway's runs at the base, nor will, by that record
   staged_rollout::AnswerAccount counts;
 };
@@ -29,7 +29,7 @@
 };
 
 // Cuts an account into as many as are needed for each to fit into a datagram.
-std::vector<RolloutAccount> cutIntoDatagrams(const RolloutAccount& account);
+std::vector<RolloutAccount> splitIntoDatagrams(const RolloutAccount& account);
 
 std::string encodeRolloutMessage(const RolloutMessage& message);
 // Decodes untrusted bytes. Errors: kInvalidArgument, also for a later form than the one that is known.
--- a/src/gateway/row_relay.cc
+++ b/src/gateway/row_relay.cc
@@ -9,12 +9,12 @@
 namespace {
 
 // One for each table of each follower: a zone of 300 gateways.
-constexpr size_t kConnectionsAtMost = 1024;
-constexpr absl::Duration kLongestWait = absl::Seconds(2);
+constexpr size_t kMaxConnections = 1024;
+constexpr absl::Duration kMaxWait = absl::Seconds(2);
 // From so many rows on, a table as a whole is large.
-constexpr size_t kRowsOfLargeTable = 500;
-// Of one table: followers differ by an answer or two in what they know.
-constexpr size_t kPackedAtMost = 8;
+constexpr size_t kLargeTableRows = 500;
+// Of one table: followers differ by an response or two in what they know.
+constexpr size_t kMaxPackedPerTable = 8;
 constexpr int kOk = 200;
 constexpr int kUnauthorized = 401;
 constexpr int kBadRequest = 400;
@@ -24,9 +24,10 @@
 
 bool RowRelay::listen(const Address& address) {
   server_ = std::make_unique<reactor::PlainServer>(
-      core_.reactor, address, kConnectionsAtMost,
-      [this](const HttpHead& question, const std::string& body,
-             const reactor::PlainServer::Respond& respond) { takeQuestion(question, body, respond); });
+      core_.reactor, address, kMaxConnections,
+      [this](const HttpHead& request, const std::string& body, const reactor::PlainServer::Respond& respond) {
+        handleRequest(request, body, respond);
+      });
   return server_->isListening();
 }
 
@@ -34,8 +35,8 @@
   caches_[table] = cache;
 }
 
-void RowRelay::takeQuestion(const HttpHead& head, const std::string& body,
-                            const reactor::PlainServer::Respond& respond) {
+void RowRelay::handleRequest(const HttpHead& head, const std::string& body,
+                             const reactor::PlainServer::Respond& respond) {
   peer::Authenticator* const authenticator = peers_.authenticator();
   if (authenticator == nullptr) {
     refuse(respond, kUnavailable);
@@ -46,136 +47,137 @@
     refuse(respond, kUnauthorized);
     return;
   }
-  auto question = decodeRelayQuestion(envelope.value().payload);
-  if (question.has_error()) {
+  auto request = decodeRelayRequest(envelope.value().payload);
+  if (request.has_error()) {
     refuse(respond, kBadRequest);
     return;
   }
-  const auto cache = caches_.find(question.value().table);
-  if (!answers_ || cache == caches_.end() || !cache->second->isFilled()) {
+  const auto cache = caches_.find(request.value().table);
+  if (!is_serving_ || cache == caches_.end() || !cache->second->isFilled()) {
     refuse(respond, kUnavailable);
     return;
   }
-  Held held{std::move(question.value()),
-            head.target == kPackedPath,
-            envelope.value().sender,
-            envelope.value().sequence,
-            reactor::steadyNow(),
-            respond,
-            {}};
-  whole_answers_.noteAsked(held.asker);
-  answerWaitingForWhole();
-  if (isLargeWhole(held) && !whole_answers_.mayBegin(reactor::steadyNow())) {
-    waiting_for_whole_.push_back(std::move(held));
+  PendingRequest pending{std::move(request.value()),
+                         head.target == kPackedPath,
+                         envelope.value().sender,
+                         envelope.value().sequence,
+                         reactor::steadyNow(),
+                         respond,
+                         {}};
+  snapshot_limiter_.noteDelivered(pending.requester);
+  sendWaitingSnapshots();
+  if (isLargeSnapshot(pending) && !snapshot_limiter_.maySend(reactor::steadyNow())) {
+    waiting_for_snapshot_.push_back(std::move(pending));
     return;
   }
-  if (hasNews(held.question)) {
-    answer(held);
+  if (hasUpdate(pending.request)) {
+    sendResponse(pending);
     return;
   }
-  hold(std::move(held));
+  enqueue(std::move(pending));
 }
 
-void RowRelay::hold(Held held) {
-  held_.push_back(std::move(held));
-  const auto place = std::prev(held_.end());
-  const absl::Duration wait = std::clamp(place->question.wait, absl::ZeroDuration(), kLongestWait);
-  place->wait = core_.timers.schedule(reactor::steadyNow() + wait, [this, place] {
-    answer(*place);
-    held_.erase(place);
+void RowRelay::enqueue(PendingRequest pending) {
+  pending_.push_back(std::move(pending));
+  const auto entry = std::prev(pending_.end());
+  const absl::Duration wait = std::clamp(entry->request.wait, absl::ZeroDuration(), kMaxWait);
+  entry->wait = core_.timers.schedule(reactor::steadyNow() + wait, [this, entry] {
+    sendResponse(*entry);
+    pending_.erase(entry);
   });
 }
 
 // Who waits longest goes first. Followers that went ask no more: answers to them are over by their time.
-void RowRelay::answerWaitingForWhole() {
+void RowRelay::sendWaitingSnapshots() {
   const absl::Time now = reactor::steadyNow();
-  while (!waiting_for_whole_.empty() && whole_answers_.mayBegin(now)) {
-    Held held = std::move(waiting_for_whole_.front());
-    waiting_for_whole_.pop_front();
-    answer(held);
+  while (!waiting_for_snapshot_.empty() && snapshot_limiter_.maySend(now)) {
+    PendingRequest pending = std::move(waiting_for_snapshot_.front());
+    waiting_for_snapshot_.pop_front();
+    sendResponse(pending);
   }
 }
 
-bool RowRelay::isLargeWhole(const Held& held) const {
-  const forwarding::RowCache& cache = *caches_.at(held.question.table);
-  return cache.tellsAllAfter(held.question.after) && cache.size() >= kRowsOfLargeTable;
+bool RowRelay::isLargeSnapshot(const PendingRequest& pending) const {
+  const forwarding::RowCache& cache = *caches_.at(pending.request.table);
+  return cache.tellsAllAfter(pending.request.after) && cache.size() >= kLargeTableRows;
 }
 
-bool RowRelay::hasNews(const RelayQuestion& question) const {
-  const forwarding::RowCache& cache = *caches_.at(question.table);
-  return question.after == 0 || cache.lastChange() > question.after || cache.readings() != question.readings;
+bool RowRelay::hasUpdate(const RelayRequest& request) const {
+  const forwarding::RowCache& cache = *caches_.at(request.table);
+  return request.after == 0 || cache.lastChange() > request.after || cache.readings() != request.readings;
 }
 
-void RowRelay::answer(Held& held) {
+void RowRelay::sendResponse(PendingRequest& pending) {
   const absl::Time now = reactor::steadyNow();
-  if (isLargeWhole(held)) {
-    whole_answers_.noteSent(held.asker, now);
+  if (isLargeSnapshot(pending)) {
+    snapshot_limiter_.noteSent(pending.requester, now);
   }
-  const std::string payload = held.wants_packed ? packedAnswer(held, now) : plainAnswer(held, now);
-  const auto sealed = peers_.authenticator()->seal(peer::Channel::kResponse, held.asker,
-                                                   peer::PeerModule::kRouting, payload, held.sequence);
-  held.respond({kOk, "application/octet-stream", sealed.bytes});
+  const std::string payload =
+      pending.wants_packed ? packedResponse(pending, now) : plainResponse(pending, now);
+  const auto sealed = peers_.authenticator()->seal(peer::Channel::kResponse, pending.requester,
+                                                   peer::PeerModule::kRouting, payload, pending.sequence);
+  pending.respond({kOk, "application/octet-stream", sealed.bytes});
 }
 
-RelayAnswer RowRelay::answerWithoutRows(const Held& held, absl::Time now) const {
-  const forwarding::RowCache& cache = *caches_.at(held.question.table);
-  RelayAnswer answer;
-  answer.is_whole = cache.tellsAllAfter(held.question.after);
-  answer.version = cache.version();
-  answer.readings = cache.readings();
-  answer.confirmed_ago = now - cache.confirmed();
-  answer.as_of_ago = now - cache.asOf();
-  answer.held_for = now - held.came;
-  return answer;
+RelayResponse RowRelay::responseWithoutRows(const PendingRequest& pending, absl::Time now) const {
+  const forwarding::RowCache& cache = *caches_.at(pending.request.table);
+  RelayResponse response;
+  response.is_whole = cache.tellsAllAfter(pending.request.after);
+  response.version = cache.version();
+  response.readings = cache.readings();
+  response.confirmed_ago = now - cache.confirmed();
+  response.as_of_ago = now - cache.asOf();
+  response.held_for = now - pending.received_at;
+  return response;
 }
 
-std::string RowRelay::plainAnswer(const Held& held, absl::Time now) const {
-  RelayAnswer answer = answerWithoutRows(held, now);
-  answer.rows = caches_.at(held.question.table)->newsAfter(held.question.after).rows;
-  return encodeRelayAnswer(answer);
+std::string RowRelay::plainResponse(const PendingRequest& pending, absl::Time now) const {
+  RelayResponse response = responseWithoutRows(pending, now);
+  response.rows = caches_.at(pending.request.table)->newsAfter(pending.request.after).rows;
+  return encodeRelayResponse(response);
 }
 
-std::string RowRelay::packedAnswer(const Held& held, absl::Time now) {
-  return encodePackedAnswer({answerWithoutRows(held, now), packedRowsFor(held.question)});
+std::string RowRelay::packedResponse(const PendingRequest& pending, absl::Time now) {
+  return encodePackedResponse({responseWithoutRows(pending, now), packedRowsFor(pending.request)});
 }
 
 // All followers that know as much are told the same: it is looked up and packed once.
-const std::string& RowRelay::packedRowsFor(const RelayQuestion& question) {
-  const forwarding::RowCache& cache = *caches_.at(question.table);
-  std::deque<Packed>& kept = packed_[question.table];
-  std::erase_if(kept, [&cache](const Packed& packed) { return packed.version != cache.version(); });
-  const auto found = std::find_if(
-      kept.begin(), kept.end(), [&question](const Packed& packed) { return packed.after == question.after; });
-  if (found != kept.end()) {
+const std::string& RowRelay::packedRowsFor(const RelayRequest& request) {
+  const forwarding::RowCache& cache = *caches_.at(request.table);
+  std::deque<Packed>& cached = packed_[request.table];
+  std::erase_if(cached, [&cache](const Packed& packed) { return packed.version != cache.version(); });
+  const auto found = std::find_if(cached.begin(), cached.end(),
+                                  [&request](const Packed& packed) { return packed.after == request.after; });
+  if (found != cached.end()) {
     return found->bytes;
   }
-  if (kept.size() >= kPackedAtMost) {
-    kept.pop_front();
+  if (cached.size() >= kMaxPackedPerTable) {
+    cached.pop_front();
   }
-  kept.push_back({question.after, cache.version(), packRows(cache.newsAfter(question.after).rows)});
-  return kept.back().bytes;
+  cached.push_back({request.after, cache.version(), packRows(cache.newsAfter(request.after).rows)});
+  return cached.back().bytes;
 }
 
-void RowRelay::tell(const std::string& table) {
-  answerWaitingForWhole();
-  for (auto held = held_.begin(); held != held_.end();) {
-    if (held->question.table != table || !hasNews(held->question)) {
-      ++held;
+void RowRelay::notifyFollowers(const std::string& table) {
+  sendWaitingSnapshots();
+  for (auto pending = pending_.begin(); pending != pending_.end();) {
+    if (pending->request.table != table || !hasUpdate(pending->request)) {
+      ++pending;
       continue;
     }
-    core_.timers.cancel(held->wait);
-    answer(*held);
-    held = held_.erase(held);
+    core_.timers.cancel(pending->wait);
+    sendResponse(*pending);
+    pending = pending_.erase(pending);
   }
 }
 
-void RowRelay::sendAway() {
-  for (Held& held : std::exchange(held_, {})) {
-    core_.timers.cancel(held.wait);
-    refuse(held.respond, kUnavailable);
+void RowRelay::refuseAll() {
+  for (PendingRequest& pending : std::exchange(pending_, {})) {
+    core_.timers.cancel(pending.wait);
+    refuse(pending.respond, kUnavailable);
   }
-  for (const Held& held : std::exchange(waiting_for_whole_, {})) {
-    refuse(held.respond, kUnavailable);
+  for (const PendingRequest& pending : std::exchange(waiting_for_snapshot_, {})) {
+    refuse(pending.respond, kUnavailable);
   }
   packed_.clear();
 }
--- a/src/gateway/row_relay.h
+++ b/src/gateway/row_relay.h
@@ -14,7 +14,7 @@
 #include "gateway/core.h"
 #include "gateway/peer_directory.h"
 #include "gateway/relay_messages.h"
-#include "gateway/whole_answers.h"
+#include "gateway/snapshot_limiter.h"
 #include "reactor/plain_server.h"
 
 namespace quincewick::gateway {
@@ -30,44 +30,44 @@
   // Answers about the table from this cache, which outlives the relay.
   void offer(const std::string& table, const forwarding::RowCache* cache);
   // The table's cache took something in: whoever waits for that is answered.
-  void tell(const std::string& table);
+  void notifyFollowers(const std::string& table);
   // Whether this gateway reads, and so answers.
-  void setAnswering(bool answers) { answers_ = answers; }
+  void setServing(bool answers) { is_serving_ = answers; }
   // This gateway reads no more: whoever waits is sent away.
-  void sendAway();
+  void refuseAll();
 
  private:
-  struct Held {
-    RelayQuestion question;
+  struct PendingRequest {
+    RelayRequest request;
     bool wants_packed = false;
-    NodeId asker;
+    NodeId requester;
     Sequence sequence;  // of the sealed question
-    absl::Time came;
+    absl::Time received_at;
     reactor::PlainServer::Respond respond;
     reactor::TimerQueue::Key wait;
   };
 
-  void takeQuestion(const HttpHead& head, const std::string& body,
-                    const reactor::PlainServer::Respond& respond);
-  void hold(Held held);
-  void answerWaitingForWhole();
-  // Whether the answer is a large table as a whole, of which only so many go out at once.
-  bool isLargeWhole(const Held& held) const;
-  RelayAnswer answerWithoutRows(const Held& held, absl::Time now) const;
-  std::string plainAnswer(const Held& held, absl::Time now) const;
-  std::string packedAnswer(const Held& held, absl::Time now);
-  const std::string& packedRowsFor(const RelayQuestion& question);
-  bool hasNews(const RelayQuestion& question) const;
-  void answer(Held& held);
+  void handleRequest(const HttpHead& head, const std::string& body,
+                     const reactor::PlainServer::Respond& respond);
+  void enqueue(PendingRequest pending);
+  void sendWaitingSnapshots();
+  // Whether the response is a large table as a whole, of which only so many go out at once.
+  bool isLargeSnapshot(const PendingRequest& pending) const;
+  RelayResponse responseWithoutRows(const PendingRequest& pending, absl::Time now) const;
+  std::string plainResponse(const PendingRequest& pending, absl::Time now) const;
+  std::string packedResponse(const PendingRequest& pending, absl::Time now);
+  const std::string& packedRowsFor(const RelayRequest& request);
+  bool hasUpdate(const RelayRequest& request) const;
+  void sendResponse(PendingRequest& pending);
   void refuse(const reactor::PlainServer::Respond& respond, int status) const;
 
   Core& core_;
   PeerDirectory& peers_;
   std::unique_ptr<reactor::PlainServer> server_;
   absl::flat_hash_map<std::string, const forwarding::RowCache*> caches_;  // by table
-  std::list<Held> held_;
-  std::list<Held> waiting_for_whole_;
-  WholeAnswers whole_answers_;
+  std::list<PendingRequest> pending_;
+  std::list<PendingRequest> waiting_for_snapshot_;
+  SnapshotLimiter snapshot_limiter_;
   // Rows packed for those who know all up to `after`, of the table as it is now.
   struct Packed {
     uint64_t after = 0;
@@ -75,7 +75,7 @@
     std::string bytes;
   };
   absl::flat_hash_map<std::string, std::deque<Packed>> packed_;  // by table
-  bool answers_ = false;
+  bool is_serving_ = false;
 };
 
 }  // namespace quincewick::gateway
--- a/src/gateway/server_list.cc
+++ b/src/gateway/server_list.cc
@@ -12,14 +12,14 @@
 
 ServerList::ServerList(Core& core) : core_(core), refused_(core, core.dialect->tables().servers) {}
 
-void ServerList::take(const forwarding::TableNews& news, absl::Time now) {
+void ServerList::take(const forwarding::TableNews& update, absl::Time now) {
   const absl::Duration list_was_old = now - core_.servers_as_of;
-  if (news.as_of > core_.servers_as_of) {
-    core_.servers_as_of = news.as_of;
+  if (update.as_of > core_.servers_as_of) {
+    core_.servers_as_of = update.as_of;
     lapsed_.noteReading(now);
   }
   std::vector<std::string> ids;
-  for (const StoreRow& row : news.rows) {
+  for (const StoreRow& row : update.rows) {
     if (row.is_gone) {
       refused_.forget(row.key);
       noteMissing(row.key, now);
@@ -28,7 +28,7 @@
       takeRow(row, list_was_old, now);
     }
   }
-  if (news.is_whole) {
+  if (update.is_whole) {
     for (const std::string& id : core_.directory.missingFrom(ids)) {
       noteMissing(id, now);
     }
@@ -59,7 +59,7 @@
   if (is_plausible && effect != EntryEffect::kOutdated) {
     refused_.forget(row.key);
   }
-  tell(entry, effect, now);
+  logEffect(entry, effect, now);
 }
 
 // What can't be read may be its leaving: nothing new is sent there until it can be. What is believed of its
@@ -69,7 +69,7 @@
   refused_.note(row.key, why);
 }
 
-void ServerList::tell(const forwarding::ServerEntry& entry, EntryEffect effect, absl::Time now) {
+void ServerList::logEffect(const forwarding::ServerEntry& entry, EntryEffect effect, absl::Time now) {
   switch (effect) {
     case EntryEffect::kKnown:
       return;
--- a/src/gateway/server_list.h
+++ b/src/gateway/server_list.h
@@ -17,7 +17,7 @@
  public:
   explicit ServerList(Core& core);
 
-  void take(const forwarding::TableNews& news, absl::Time now);
+  void take(const forwarding::TableNews& update, absl::Time now);
   // Neither this gateway nor a peer that it hears reads the list.
   void noteAway() { lapsed_.noteAway(); }
   // Removes servers whose entries were awaited in vain.
@@ -26,7 +26,7 @@
  private:
   void takeRow(const forwarding::StoreRow& row, absl::Duration list_was_old, absl::Time now);
   void refuse(const forwarding::StoreRow& row, const std::string& why);
-  void tell(const forwarding::ServerEntry& entry, forwarding::EntryEffect effect, absl::Time now);
+  void logEffect(const forwarding::ServerEntry& entry, forwarding::EntryEffect effect, absl::Time now);
   void noteMissing(const std::string& server_id, absl::Time now);
   void remove(const std::string& server_id, absl::Time now);
 
--- a/src/gateway/site_follower.cc
+++ b/src/gateway/site_follower.cc
@@ -10,11 +10,11 @@
 using forwarding::StoreRow;
 using forwarding::TableNews;
 
-constexpr absl::Duration kTick = absl::Milliseconds(100);
+constexpr absl::Duration kTickInterval = absl::Milliseconds(100);
 // While this gateway neither reads nor follows, it can't serve: it looks more often who reads.
-constexpr absl::Duration kTickWithoutRows = absl::Milliseconds(20);
+constexpr absl::Duration kTickIntervalWithoutRole = absl::Milliseconds(20);
 // At a start peers that have rows in the store count as there for so long before they are heard.
-constexpr absl::Duration kFirstHearing = absl::Milliseconds(1200);
+constexpr absl::Duration kPeerDiscoveryTime = absl::Milliseconds(1200);
 // How long a reader holds a follower's question. Each reading is told at once, so this is how long nothing is
 // heard of a reader that gets no answers.
 constexpr absl::Duration kRelayWait = absl::Milliseconds(1000);
@@ -23,12 +23,12 @@
 constexpr absl::Duration kRolloutsWait = absl::Seconds(20);
 constexpr absl::Duration kRunningRolloutsWait = absl::Seconds(1);
 // A reader of a build that has no rollouts passes on everything else.
-constexpr absl::Duration kRolloutsAskedAgain = absl::Seconds(1);
+constexpr absl::Duration kRolloutsRetryDelay = absl::Seconds(1);
 // Between a reader's whole readings of the operator's rows, at most.
-constexpr absl::Duration kLongestWholeEvery = absl::Seconds(1);
+constexpr absl::Duration kMaxSnapshotInterval = absl::Seconds(1);
 // Readers number what they found late themselves, a little ahead of the store: who changes to another one
 // asks for so many versions more, for a change too many does no harm.
-constexpr uint64_t kVersionsApart = 16;
+constexpr uint64_t kVersionOverlap = 16;
 
 // Versions are named now and then, and each reader writes down those that it sees named.
 TableFollowerSettings weightsSettings() {
@@ -64,7 +64,7 @@
   TableFollowerSettings settings;
   settings.table = core.dialect->tables().configuration;
   settings.pace.wait = absl::Seconds(10);
-  settings.pace.whole_every = std::min(kLongestWholeEvery, core.settings.bounds.configuration_in_force / 3);
+  settings.pace.whole_every = std::min(kMaxSnapshotInterval, core.settings.bounds.configuration_in_force / 3);
   return settings;
 }
 
@@ -73,7 +73,7 @@
 }
 
 // Servers write their rows again and again to show that they live.
-bool saysTheSame(const forwarding::Dialect& dialect, const StoreRow& known, const StoreRow& written) {
+bool isEquivalent(const forwarding::Dialect& dialect, const StoreRow& known, const StoreRow& written) {
   if (known.value == written.value) {
     return true;
   }
@@ -96,38 +96,41 @@
       list_(core),
       refused_rows_(core, core.dialect->tables().configuration),
       weights_record_(core),
-      confirmer_(core, [this](const TableNews& news) { takeConfirmation(news); }),
-      operator_rows_{core.dialect->tables().configuration, forwarding::RowCache(isSameVersion),
-                     TableFollower(core, operatorSettings(core),
-                                   [this](const TableNews& news) { takeFromStore(operator_rows_, news); }),
-                     RelayFollower(
-                         core, peers, core.dialect->tables().configuration, kRelayWait,
-                         [this](const TableNews& news) { takeToldConfiguration(news); },
-                         [this](const NodeId& reader) { noteFailed(reader); })},
+      confirmer_(core, [this](const TableNews& update) { handleConfirmation(update); }),
+      operator_rows_{
+          core.dialect->tables().configuration, forwarding::RowCache(isSameVersion),
+          TableFollower(core, operatorSettings(core),
+                        [this](const TableNews& update) { handleStoreUpdate(operator_rows_, update); }),
+          RelayFollower(
+              core, peers, core.dialect->tables().configuration, kRelayWait,
+              [this](const TableNews& update) { handleRelayedConfiguration(update); },
+              [this](const NodeId& reader) { handleReaderFailure(reader); })},
       servers_{core.dialect->tables().servers,
                forwarding::RowCache([&core](const StoreRow& known, const StoreRow& written) {
-                 return saysTheSame(*core.dialect, known, written);
+                 return isEquivalent(*core.dialect, known, written);
                }),
                TableFollower(core, serverSettings(core),
-                             [this](const TableNews& news) { takeFromStore(servers_, news); }),
+                             [this](const TableNews& update) { handleStoreUpdate(servers_, update); }),
                RelayFollower(
                    core, peers, core.dialect->tables().servers, kRelayWait,
-                   [this](const TableNews& news) { takeNews(servers_, news, false); },
-                   [this](const NodeId& reader) { noteFailed(reader); })},
-      weights_rows_{WeightsRecord::kTable, forwarding::RowCache(isSameVersion),
-                    TableFollower(core, weightsSettings(),
-                                  [this](const TableNews& news) { takeFromStore(weights_rows_, news); }),
-                    RelayFollower(
-                        core, peers, WeightsRecord::kTable, kRarelyChangedRelayWait,
-                        [this](const TableNews& news) { takeNews(weights_rows_, news, false); },
-                        [this](const NodeId& reader) { noteFailed(reader); })},
-      rollout_rows_{RolloutExchange::kTable, forwarding::RowCache(isSameVersion),
-                    TableFollower(core, rolloutSettings(),
-                                  [this](const TableNews& news) { takeFromStore(rollout_rows_, news); }),
-                    RelayFollower(
-                        core, peers, RolloutExchange::kTable, kRunningRolloutsWait,
-                        [this](const TableNews& news) { takeNews(rollout_rows_, news, false); },
-                        [this](const NodeId& reader) { followRolloutsLater(reader); })} {}
+                   [this](const TableNews& update) { applyUpdate(servers_, update, false); },
+                   [this](const NodeId& reader) { handleReaderFailure(reader); })},
+      weights_rows_{
+          WeightsRecord::kTable, forwarding::RowCache(isSameVersion),
+          TableFollower(core, weightsSettings(),
+                        [this](const TableNews& update) { handleStoreUpdate(weights_rows_, update); }),
+          RelayFollower(
+              core, peers, WeightsRecord::kTable, kRarelyChangedRelayWait,
+              [this](const TableNews& update) { applyUpdate(weights_rows_, update, false); },
+              [this](const NodeId& reader) { handleReaderFailure(reader); })},
+      rollout_rows_{
+          RolloutExchange::kTable, forwarding::RowCache(isSameVersion),
+          TableFollower(core, rolloutSettings(),
+                        [this](const TableNews& update) { handleStoreUpdate(rollout_rows_, update); }),
+          RelayFollower(
+              core, peers, RolloutExchange::kTable, kRunningRolloutsWait,
+              [this](const TableNews& update) { applyUpdate(rollout_rows_, update, false); },
+              [this](const NodeId& reader) { retryRolloutsLater(reader); })} {}
 
 std::vector<SiteFollower::Table*> SiteFollower::tables() {
   std::vector<Table*> followed = {&operator_rows_, &servers_, &weights_rows_};
@@ -144,7 +147,7 @@
   tick();
 }
 
-bool SiteFollower::readsWell() const {
+bool SiteFollower::isZoneReader() const {
   return role_.reads && storeAnswers() && !core_.is_stopping && operator_rows_.cache.isFilled() &&
          servers_.cache.isFilled() && weights_rows_.cache.isFilled() &&
          (core_.rollouts == nullptr || rollout_rows_.cache.isFilled()) &&
@@ -176,16 +179,16 @@
   if (knowsPeers()) {
     peers_known_since_ = std::min(peers_known_since_, now);
     checkAge(now);
-    takeRole(election_.decide(candidates(now), storeAnswers(), now));
-    noteWhetherAway(now);
-    confirmer_.tick([this, now] { return role_.reads || exchange_.hearsReader(now); }, now);
+    applyRole(election_.decide(candidates(now), storeAnswers(), now));
+    checkIsolation(now);
+    confirmer_.tick([this, now] { return role_.reads || exchange_.hasLiveReader(now); }, now);
   }
-  core_.timers.schedule(now + (seeksReader() ? kTickWithoutRows : kTick), [this] { tick(); });
+  core_.timers.schedule(now + (seeksReader() ? kTickIntervalWithoutRole : kTickInterval), [this] { tick(); });
 }
 
 // A reader may answer and yet have no fresh rows: followers don't wait until it has noticed that itself.
 void SiteFollower::checkAge(absl::Time now) {
-  const bool is_outdated = election_.followsOutdated(told_confirmed_, oldestConfiguration(), now) ||
+  const bool is_outdated = election_.followsOutdated(relayed_confirmed_, oldestConfiguration(), now) ||
                            election_.followsOutdated(core_.servers_as_of, oldestList(), now);
   if (is_outdated) {
     election_.noteOutdated(*role_.follows, now);
@@ -195,19 +198,19 @@
   }
   core_.log.event("reader_outdated", now)
       .with("peer", role_.follows->value())
-      .with("confirmed_ms_ago", now - told_confirmed_)
+      .with("confirmed_ms_ago", now - relayed_confirmed_)
       .with("list_is_old_ms", now - core_.servers_as_of);
 }
 
 // A reading that this gateway alone lacks is no outage: peers are heard then that have one.
-void SiteFollower::noteWhetherAway(absl::Time now) {
+void SiteFollower::checkIsolation(absl::Time now) {
   const bool is_list_old = now - core_.servers_as_of > oldestList();
-  if (is_list_old && !election_.hearsReader() && !exchange_.hearsNobody(now)) {
+  if (is_list_old && !election_.hearsReader() && !exchange_.areNearPeersSilent(now)) {
     list_.noteAway();
   }
 }
 
-void SiteFollower::noteFailed(const NodeId& reader) {
+void SiteFollower::handleReaderFailure(const NodeId& reader) {
   core_.log.event("reader_failed", reactor::steadyNow()).with("peer", reader.value());
   election_.noteFailed(reader, reactor::steadyNow());
   for (Table* const table : tables()) {
@@ -216,8 +219,8 @@
   role_.follows.reset();
 }
 
-void SiteFollower::followRolloutsLater(const NodeId& reader) {
-  core_.timers.schedule(reactor::steadyNow() + kRolloutsAskedAgain, [this, reader] {
+void SiteFollower::retryRolloutsLater(const NodeId& reader) {
+  core_.timers.schedule(reactor::steadyNow() + kRolloutsRetryDelay, [this, reader] {
     if (role_.follows == reader) {
       rollout_rows_.from_peer.follow(reader, peers_.peers().at(reader).address, 0);
     }
@@ -226,17 +229,17 @@
 
 std::vector<forwarding::ReaderCandidate> SiteFollower::candidates(absl::Time now) const {
   std::vector<forwarding::ReaderCandidate> result;
-  const bool are_unheard = now < peers_known_since_ + kFirstHearing;
+  const bool is_discovering = now < peers_known_since_ + kPeerDiscoveryTime;
   for (const auto& [id, peer] : peers_.peers()) {
-    const bool is_expected = are_unheard && peer.heard == absl::InfinitePast();
+    const bool is_expected = is_discovering && peer.last_received == absl::InfinitePast();
     if (peers_.isOwnZone(peer) && (is_expected || exchange_.isLive(peer, now))) {
-      result.push_back({id, peer.capacity, peer.reads_well});
+      result.push_back({id, peer.capacity, peer.is_zone_reader});
     }
   }
   return result;
 }
 
-void SiteFollower::takeRole(const forwarding::ReaderRole& role) {
+void SiteFollower::applyRole(const forwarding::ReaderRole& role) {
   if (role == role_) {
     return;
   }
@@ -256,35 +259,35 @@
     if (role.follows) {
       const uint64_t known = table->cache.version();
       table->from_peer.follow(*role.follows, peers_.peers().at(*role.follows).address,
-                              known - std::min(known, kVersionsApart));
+                              known - std::min(known, kVersionOverlap));
     } else {
       table->from_peer.stop();
     }
   }
   if (stops_reading) {
-    relay_.sendAway();
+    relay_.refuseAll();
   }
-  relay_.setAnswering(role.reads);
+  relay_.setServing(role.reads);
 }
 
-void SiteFollower::takeFromStore(Table& table, const TableNews& news) {
-  takeNews(table, news, true);
-  relay_.tell(table.name);
-  exchange_.noteReading();
+void SiteFollower::handleStoreUpdate(Table& table, const TableNews& update) {
+  applyUpdate(table, update, true);
+  relay_.notifyFollowers(table.name);
+  exchange_.updateReaderStatus();
 }
 
-void SiteFollower::takeToldConfiguration(const TableNews& news) {
-  told_confirmed_ = std::max(told_confirmed_, news.confirmed);
-  takeNews(operator_rows_, news, false);
+void SiteFollower::handleRelayedConfiguration(const TableNews& update) {
+  relayed_confirmed_ = std::max(relayed_confirmed_, update.confirmed);
+  applyUpdate(operator_rows_, update, false);
 }
 
 // A reader whose questions fail meanwhile reads again at once, for its followers.
-void SiteFollower::takeConfirmation(const TableNews& news) {
+void SiteFollower::handleConfirmation(const TableNews& update) {
   if (!role_.reads) {
-    takeNews(operator_rows_, news, false);
+    applyUpdate(operator_rows_, update, false);
     return;
   }
-  takeFromStore(operator_rows_, news);
+  handleStoreUpdate(operator_rows_, update);
   for (Table* const table : tables()) {
     if (table->from_store.isDown()) {
       table->from_store.restart();
@@ -292,43 +295,44 @@
   }
 }
 
-void SiteFollower::takeNews(Table& table, const TableNews& news, bool from_store) {
-  const TableNews effect = table.cache.take(news);
+void SiteFollower::applyUpdate(Table& table, const TableNews& update, bool from_store) {
+  const TableNews effect = table.cache.take(update);
   if (&table == &operator_rows_) {
-    takeOperatorRows(effect, from_store);
+    applyOperatorRows(effect, from_store);
   } else if (&table == &servers_) {
     list_.take(effect, reactor::steadyNow());
   } else if (&table == &rollout_rows_) {
-    takeRollouts(effect);
+    applyRollouts(effect);
   } else {
-    weights_record_.take(news);  // what came before the store's clock was known is taken when it comes again
+    weights_record_.take(
+        update);  // what came before the store's clock was known is taken when it comes again
   }
 }
 
-void SiteFollower::takeRollouts(const TableNews& news) {
-  core_.rollouts->takeRecords(news);
+void SiteFollower::applyRollouts(const TableNews& update) {
+  core_.rollouts->takeRecords(update);
   rollout_rows_.from_store.setWait(core_.rollouts->isAnyRunning() ? kRunningRolloutsWait : kRolloutsWait);
 }
 
 // Only a whole reading of the store confirms: a change that is told late must not pass for a newer look.
-void SiteFollower::takeOperatorRows(const TableNews& news, bool from_store) {
+void SiteFollower::applyOperatorRows(const TableNews& update, bool from_store) {
   const forwarding::StoreTables& tables = core_.dialect->tables();
-  for (const StoreRow& row : news.rows) {
+  for (const StoreRow& row : update.rows) {
     if (row.key == tables.configuration_key) {
-      takeConfiguration(row, from_store);
+      applyConfiguration(row, from_store);
     } else if (row.key.starts_with(tables.weights_prefix) && !row.is_gone) {
-      takeWeights(row, from_store);
+      applyWeights(row, from_store);
     } else if (core_.rollouts != nullptr && row.key.starts_with(tables.rollout_prefix)) {
-      core_.rollouts->takeOperatorsRow(row);
+      core_.rollouts->handleOperatorRow(row);
     }
   }
-  has_read_rows_ = has_read_rows_ || news.is_whole;
-  if (core_.in_force.configuration != nullptr && !has_unread_row_) {
-    core_.in_force.confirmed = std::max(core_.in_force.confirmed, news.confirmed);
+  has_snapshot_ = has_snapshot_ || update.is_whole;
+  if (core_.in_force.configuration != nullptr && !has_unreadable_row_) {
+    core_.in_force.confirmed = std::max(core_.in_force.confirmed, update.confirmed);
   }
 }
 
-void SiteFollower::takeWeights(const StoreRow& row, bool from_store) {
+void SiteFollower::applyWeights(const StoreRow& row, bool from_store) {
   const auto weights = core_.dialect->readNamedWeights(row.value);
   const absl::Time now = reactor::steadyNow();
   if (weights.has_error()) {
@@ -342,27 +346,27 @@
   core_.log.event("weights_named", now)
       .with("model", weights.value().model.value())
       .with("version", static_cast<int64_t>(weights.value().version.value()));
-  if (has_read_rows_ && from_store) {
-    weights_record_.record(weights.value(), [this] { readWeightsRecordAgain(); });
+  if (has_snapshot_ && from_store) {
+    weights_record_.record(weights.value(), [this] { rereadWeightsRecord(); });
   }
 }
 
 // Whoever starts next asks this reader when the version was named: it must not wait for a question that the
 // store perhaps never answers.
-void SiteFollower::readWeightsRecordAgain() {
+void SiteFollower::rereadWeightsRecord() {
   if (role_.reads) {
     weights_rows_.from_store.restart();
   }
 }
 
-void SiteFollower::takeConfiguration(const StoreRow& row, bool from_store) {
+void SiteFollower::applyConfiguration(const StoreRow& row, bool from_store) {
   ConfigurationInForce& in_force = core_.in_force;
   if (row.is_gone || row.version <= configuration_row_) {
     return;
   }
   auto read = core_.dialect->readConfiguration(row.value);
   const absl::Time now = reactor::steadyNow();
-  has_unread_row_ = read.has_error();
+  has_unreadable_row_ = read.has_error();
   if (read.has_error()) {
     core_.log.event("configuration_refused", now).with("why", read.error().message);
     return;
--- a/src/gateway/site_follower.h
+++ b/src/gateway/site_follower.h
@@ -27,7 +27,7 @@
 
   void start();
   // Whether this gateway reads the store, gets answers and so has fresh rows for its zone.
-  bool readsWell() const;
+  bool isZoneReader() const;
   // Whether it neither reads nor follows one who does.
   bool seeksReader() const { return !role_.reads && !role_.follows; }
 
@@ -46,22 +46,22 @@
   absl::Duration oldestList() const;
   absl::Duration oldestConfiguration() const;
   std::vector<Table*> tables();
-  void takeRole(const forwarding::ReaderRole& role);
+  void applyRole(const forwarding::ReaderRole& role);
   std::vector<forwarding::ReaderCandidate> candidates(absl::Time now) const;
-  void noteFailed(const NodeId& reader);
-  void followRolloutsLater(const NodeId& reader);
-  void takeRollouts(const forwarding::TableNews& news);
+  void handleReaderFailure(const NodeId& reader);
+  void retryRolloutsLater(const NodeId& reader);
+  void applyRollouts(const forwarding::TableNews& update);
   void checkAge(absl::Time now);
-  void noteWhetherAway(absl::Time now);
+  void checkIsolation(absl::Time now);
 
-  void takeFromStore(Table& table, const forwarding::TableNews& news);
-  void takeToldConfiguration(const forwarding::TableNews& news);
-  void takeConfirmation(const forwarding::TableNews& news);
-  void takeNews(Table& table, const forwarding::TableNews& news, bool from_store);
-  void takeOperatorRows(const forwarding::TableNews& news, bool from_store);
-  void takeWeights(const forwarding::StoreRow& row, bool from_store);
-  void readWeightsRecordAgain();
-  void takeConfiguration(const forwarding::StoreRow& row, bool from_store);
+  void handleStoreUpdate(Table& table, const forwarding::TableNews& update);
+  void handleRelayedConfiguration(const forwarding::TableNews& update);
+  void handleConfirmation(const forwarding::TableNews& update);
+  void applyUpdate(Table& table, const forwarding::TableNews& update, bool from_store);
+  void applyOperatorRows(const forwarding::TableNews& update, bool from_store);
+  void applyWeights(const forwarding::StoreRow& row, bool from_store);
+  void rereadWeightsRecord();
+  void applyConfiguration(const forwarding::StoreRow& row, bool from_store);
 
   Core& core_;
   PeerDirectory& peers_;
@@ -71,11 +71,11 @@
   forwarding::ReaderRole role_;
   absl::Time peers_known_since_ = absl::InfiniteFuture();
   uint64_t configuration_row_ = 0;   // the store's version of the row in force
-  bool has_unread_row_ = false;      // a newer configuration can't be read: nothing confirms the old one
-  bool has_read_rows_ = false;       // what is named from now on is news
+  bool has_unreadable_row_ = false;  // a newer configuration can't be read: nothing confirms the old one
+  bool has_snapshot_ = false;        // what is named from now on is news
   bool is_reader_outdated_ = false;  // the one that is followed, until there is a better one
   // When the configuration was confirmed last as far as readers told, whatever this gateway found itself.
-  absl::Time told_confirmed_ = absl::InfinitePast();
+  absl::Time relayed_confirmed_ = absl::InfinitePast();
   ServerList list_;
   RefusedRows refused_rows_;  // of the operator
   WeightsRecord weights_record_;
--- a/src/gateway/whole_answers.h
+++ b/src/gateway/snapshot_limiter.h
@@ -11,28 +11,28 @@
 
 namespace quincewick::gateway {
 
-class WholeAnswers {
+class SnapshotLimiter {
  public:
   // Whether one more may be sent now.
-  bool mayBegin(absl::Time now);
-  void noteSent(const NodeId& follower, absl::Time now) { under_way_[follower] = now; }
+  bool maySend(absl::Time now);
+  void noteSent(const NodeId& follower, absl::Time now) { in_progress_[follower] = now; }
   // The follower's next question came: it has its last answer.
-  void noteAsked(const NodeId& follower) { under_way_.erase(follower); }
+  void noteDelivered(const NodeId& follower) { in_progress_.erase(follower); }
 
   // Of 0.3 MB each for 10,000 servers: 20 MB, which the smallest machine that reads has.
-  static constexpr size_t kAtOnce = 64;
+  static constexpr size_t kMaxConcurrent = 64;
   // One that is not followed by a question within that time is over: its follower went.
-  static constexpr absl::Duration kLongest = absl::Seconds(2);
+  static constexpr absl::Duration kSendTimeout = absl::Seconds(2);
 
  private:
-  absl::flat_hash_map<NodeId, absl::Time> under_way_;  // since when
+  absl::flat_hash_map<NodeId, absl::Time> in_progress_;  // since when
 };
 
-inline bool WholeAnswers::mayBegin(absl::Time now) {
-  if (under_way_.size() >= kAtOnce) {
-    absl::erase_if(under_way_, [now](const auto& entry) { return now - entry.second > kLongest; });
+inline bool SnapshotLimiter::maySend(absl::Time now) {
+  if (in_progress_.size() >= kMaxConcurrent) {
+    absl::erase_if(in_progress_, [now](const auto& entry) { return now - entry.second > kSendTimeout; });
   }
-  return under_way_.size() < kAtOnce;
+  return in_progress_.size() < kMaxConcurrent;
 }
 
 }  // namespace quincewick::gateway
--- a/src/gateway/whole_table_reader.h
+++ b/src/gateway/snapshot_reader.h
@@ -11,7 +11,7 @@
 
 namespace quincewick::gateway {
 
-struct WholeTable {
+struct TableSnapshot {
   std::vector<forwarding::StoreRow> rows;
   // The store's before the first page: a row of it may change while later ones are read, and the changes
   // since are told after this version.
@@ -19,24 +19,24 @@
   absl::Duration clock;  // the store's, at the last page
 };
 
-class WholeTableReader {
+class SnapshotReader {
  public:
   // `table` is whole if the status is kDone.
-  using Done = std::function<void(StoreStatus status, WholeTable table)>;
+  using Done = std::function<void(StoreStatus status, TableSnapshot table)>;
 
-  explicit WholeTableReader(Core& core) : store_(core) {}
+  explicit SnapshotReader(Core& core) : store_(core) {}
 
   // `page_limit`: how long a page may take.
   void read(const std::string& table, Done done, absl::Duration page_limit = StoreClient::kCallLimit);
   // What is under way is not told any more.
-  void cancel() { ++turn_; }
+  void cancel() { ++generation_; }
 
  private:
-  void readPage(const std::string& name, const std::string& from, absl::Duration limit, WholeTable table,
+  void readPage(const std::string& name, const std::string& from, absl::Duration limit, TableSnapshot table,
                 Done done);
 
   StoreClient store_;
-  uint64_t turn_ = 0;  // rises with each reading and cancellation
+  uint64_t generation_ = 0;  // rises with each reading and cancellation
 };
 
 }  // namespace quincewick::gateway
--- a/src/gateway/store_client.cc
+++ b/src/gateway/store_client.cc
@@ -39,9 +39,9 @@
                  forwarding::StoreRows rows;
                  if (status == StoreStatus::kDone || status == StoreStatus::kConflict) {
                    auto read = core_.dialect->readRowsAnswer(reply.value().body);
-                   const bool counts =
-                       read.has_value() && noteSign(reply.value().head, read.value().version, began);
-                   if (counts) {
+                   const bool is_current =
+                       read.has_value() && noteStoreHistory(reply.value().head, read.value().version, began);
+                   if (is_current) {
                      rows = std::move(read.value());
                      core_.store_clock_ahead = rows.clock - (reactor::steadyNow() - absl::UnixEpoch());
                    } else {
@@ -52,21 +52,21 @@
                });
 }
 
-bool StoreClient::noteSign(const HttpHead& head, uint64_t version, absl::Time began) {
+bool StoreClient::noteStoreHistory(const HttpHead& head, uint64_t version, absl::Time began) {
   const absl::Time now = reactor::steadyNow();
   const auto era = core_.dialect->readStoreEra(head);
   if (era.has_error()) {
     core_.log.event("store_era_refused", now).with("why", era.error().message);
   }
   const forwarding::StoreHistory before = core_.store_history;
-  const std::optional<uint64_t> told = era.has_value() ? era.value() : std::nullopt;
-  const forwarding::StoreFinding finding = core_.store_history.note({version, told, began, now});
+  const std::optional<uint64_t> reported_era = era.has_value() ? era.value() : std::nullopt;
+  const forwarding::StoreFinding finding = core_.store_history.note({version, reported_era, began, now});
   if (finding == forwarding::StoreFinding::kWentBack) {
     core_.metrics.countStoreWentBack();
     core_.log.event("store_went_back", now)
         .with("version", static_cast<int64_t>(version))
         .with("was", static_cast<int64_t>(before.version()))
-        .with("era", static_cast<int64_t>(told.value_or(0)));
+        .with("era", static_cast<int64_t>(reported_era.value_or(0)));
   }
   return finding != forwarding::StoreFinding::kOutdated;
 }
--- a/src/gateway/store_client.h
+++ b/src/gateway/store_client.h
@@ -50,7 +50,7 @@
   void call(HttpCall call, absl::Duration time_limit, Done done);
   // What an answer that was asked for at `began` tells of the store itself. Returns whether it counts: one of
   // an era that is over tells nothing of the store as it is.
-  bool noteSign(const HttpHead& head, uint64_t version, absl::Time began);
+  bool noteStoreHistory(const HttpHead& head, uint64_t version, absl::Time began);
 
   Core& core_;
   reactor::HttpCaller caller_;
--- a/src/gateway/table_follower.cc
+++ b/src/gateway/table_follower.cc
@@ -5,112 +5,114 @@
 
 namespace quincewick::gateway {
 
-TableFollower::TableFollower(Core& core, TableFollowerSettings settings, News news)
+TableFollower::TableFollower(Core& core, TableFollowerSettings settings, UpdateHandler update)
     : core_(core),
       settings_(std::move(settings)),
       pace_(settings_.pace),
-      news_(std::move(news)),
-      whole_reader_(core) {}
+      on_update_(std::move(update)),
+      snapshot_reader_(core) {}
 
 void TableFollower::start() {
   if (std::exchange(is_following_, true)) {
     return;
   }
-  ++turn_;
+  ++generation_;
   follows_changes_ = false;
   feed_store_ = std::make_unique<StoreClient>(core_);
   pace_.restart();
-  readWhole();
+  readSnapshot();
 }
 
 void TableFollower::stop() {
-  ++turn_;
-  whole_reader_.cancel();
+  ++generation_;
+  snapshot_reader_.cancel();
   is_following_ = false;
   is_down_ = false;
 }
 
-void TableFollower::later(absl::Duration after, const std::function<void()>& action) {
-  core_.timers.schedule(reactor::steadyNow() + after, [this, turn = turn_, action] {
-    if (turn == turn_) {
+void TableFollower::scheduleUnlessStopped(absl::Duration after, const std::function<void()>& action) {
+  core_.timers.schedule(reactor::steadyNow() + after, [this, generation = generation_, action] {
+    if (generation == generation_) {
       action();
     }
   });
 }
 
-void TableFollower::readWhole() {
+void TableFollower::readSnapshot() {
   const absl::Time began = reactor::steadyNow();
-  whole_reader_.read(settings_.table, [this, began](StoreStatus status, WholeTable table) {
+  snapshot_reader_.read(settings_.table, [this, began](StoreStatus status, TableSnapshot table) {
     if (status == StoreStatus::kDone) {
-      takeWhole(std::move(table), began);
+      applySnapshot(std::move(table), began);
     } else {
-      noteDown();
+      handleReadFailure();
     }
   });
 }
 
-void TableFollower::noteDown() {
+void TableFollower::handleReadFailure() {
   if (!std::exchange(is_down_, true)) {
     core_.log.event("store_lost", reactor::steadyNow()).with("table", settings_.table);
   }
-  later(pace_.afterFailedWhole(core_.random), [this] { readWhole(); });
+  scheduleUnlessStopped(pace_.afterFailedWhole(core_.random), [this] { readSnapshot(); });
 }
 
-void TableFollower::takeWhole(WholeTable whole, absl::Time began) {
+void TableFollower::applySnapshot(TableSnapshot snapshot, absl::Time began) {
   if (std::exchange(is_down_, false)) {
     core_.log.event("store_regained", reactor::steadyNow()).with("table", settings_.table);
   }
-  version_ = std::max(version_, whole.version);
-  const uint64_t turn = turn_;
-  news_({std::move(whole.rows), true, whole.version, began, began});
-  if (turn != turn_) {
+  version_ = std::max(version_, snapshot.version);
+  const uint64_t generation = generation_;
+  on_update_({std::move(snapshot.rows), true, snapshot.version, began, began});
+  if (generation != generation_) {
     return;
   }
-  later(pace_.afterWhole(core_.random), [this] { readWhole(); });
+  scheduleUnlessStopped(pace_.afterWhole(core_.random), [this] { readSnapshot(); });
   if (!std::exchange(follows_changes_, true)) {
-    followOn(pace_.afterChanges());
+    followAfter(pace_.afterChanges());
   }
 }
 
-void TableFollower::followOn(absl::Duration after) {
+void TableFollower::followAfter(absl::Duration after) {
   if (after <= absl::ZeroDuration()) {
     follow();
     return;
   }
-  later(after, [this] { follow(); });
+  scheduleUnlessStopped(after, [this] { follow(); });
 }
 
 // Changes can't be told, or not any more: a whole reading tells them, too.
-void TableFollower::readWholeInstead(StoreStatus why) {
-  ++turn_;
-  whole_reader_.cancel();
+void TableFollower::fallBackToSnapshot(StoreStatus why) {
+  ++generation_;
+  snapshot_reader_.cancel();
   follows_changes_ = false;
-  const bool is_at_once = why == StoreStatus::kHistoryGone;
-  later(is_at_once ? absl::ZeroDuration() : pace_.afterFailedChanges(), [this] { readWhole(); });
+  const bool is_immediate = why == StoreStatus::kHistoryGone;
+  scheduleUnlessStopped(is_immediate ? absl::ZeroDuration() : pace_.afterFailedChanges(),
+                        [this] { readSnapshot(); });
 }
 
 // While the store is down, whole readings alone ask whether it is back.
 void TableFollower::follow() {
   if (is_down_) {
-    followOn(pace_.afterFailedChanges());
+    followAfter(pace_.afterFailedChanges());
     return;
   }
-  const absl::Time asked = reactor::steadyNow();
-  feed_store_->follow(settings_.table, version_, settings_.pace.wait,
-                      [this, turn = turn_, asked](StoreStatus status, const forwarding::StoreRows& answer) {
-                        if (turn != turn_) {
-                          return;
-                        }
-                        if (status != StoreStatus::kDone) {
-                          readWholeInstead(status);
-                          return;
-                        }
-                        version_ = std::max(version_, answer.version);
-                        news_({answer.rows, false, answer.version, absl::InfinitePast(), asked});
-                        if (turn == turn_) {
-                          followOn(pace_.afterChanges());
-                        }
-                      });
+  const absl::Time sent_at = reactor::steadyNow();
+  feed_store_->follow(
+      settings_.table, version_, settings_.pace.wait,
+      [this, generation = generation_, sent_at](StoreStatus status, const forwarding::StoreRows& response) {
+        if (generation != generation_) {
+          return;
+        }
+        if (status != StoreStatus::kDone) {
+          fallBackToSnapshot(status);
+          return;
+        }
+        version_ = std::max(version_, response.version);
+        on_update_({response.rows, false, response.version, absl::InfinitePast(), sent_at});
+        if (generation == generation_) {
+          followAfter(pace_.afterChanges());
+        }
+      });
 }
 
 }  // namespace quincewick::gateway
--- a/src/gateway/table_follower.h
+++ b/src/gateway/table_follower.h
@@ -13,8 +13,8 @@
 #include "forwarding/reading_pace.h"
 #include "forwarding/row_cache.h"
 #include "gateway/core.h"
+#include "gateway/snapshot_reader.h"
 #include "gateway/store_client.h"
-#include "gateway/whole_table_reader.h"
 
 namespace quincewick::gateway {
 
@@ -25,9 +25,9 @@
 
 class TableFollower {
  public:
-  using News = std::function<void(const forwarding::TableNews& news)>;
+  using UpdateHandler = std::function<void(const forwarding::TableNews& update)>;
 
-  TableFollower(Core& core, TableFollowerSettings settings, News news);
+  TableFollower(Core& core, TableFollowerSettings settings, UpdateHandler update);
 
   // Follows from now on, with a whole reading first; does nothing while it follows.
   void start();
@@ -44,23 +44,23 @@
   bool isDown() const { return is_down_; }
 
  private:
-  void readWhole();
-  void readWholeInstead(StoreStatus why);
-  void takeWhole(WholeTable whole, absl::Time began);
-  void noteDown();
-  void followOn(absl::Duration after);
+  void readSnapshot();
+  void fallBackToSnapshot(StoreStatus why);
+  void applySnapshot(TableSnapshot snapshot, absl::Time began);
+  void handleReadFailure();
+  void followAfter(absl::Duration after);
   void follow();
   // Calls the action later unless the following has stopped meanwhile.
-  void later(absl::Duration after, const std::function<void()>& action);
+  void scheduleUnlessStopped(absl::Duration after, const std::function<void()>& action);
 
   Core& core_;
   TableFollowerSettings settings_;
   forwarding::ReadingPace pace_;
-  News news_;
-  WholeTableReader whole_reader_;
+  UpdateHandler on_update_;
+  SnapshotReader snapshot_reader_;
   std::unique_ptr<StoreClient> feed_store_;  // a new one at each start: an old wait may go on for long
   uint64_t version_ = 0;                     // all changes up to here have been taken; 0: none yet
-  uint64_t turn_ = 0;                        // rises with each start and stop
+  uint64_t generation_ = 0;                  // rises with each start and stop
   bool is_following_ = false;
   bool follows_changes_ = false;
   bool is_down_ = false;
--- a/src/gateway/order_giver.cc
+++ b/src/gateway/weight_loader.cc
@@ -1,4 +1,4 @@
-#include "gateway/order_giver.h"
+#include "gateway/weight_loader.h"
 
 #include <algorithm>
 #include <utility>
@@ -10,22 +10,22 @@
 namespace {
 
 constexpr const char* kLeaseRow = "orders";
-constexpr absl::Duration kTick = absl::Milliseconds(100);
-constexpr absl::Duration kCallLimit = absl::Milliseconds(500);
-constexpr absl::Duration kReportPause = absl::Milliseconds(150);
-constexpr absl::Duration kLongestReportPause = absl::Seconds(1);  // else a load's end is noticed too late
-constexpr int kReportsOfRate = 4;                                 // requests for each report
+constexpr absl::Duration kTickInterval = absl::Milliseconds(100);
+constexpr absl::Duration kCallTimeout = absl::Milliseconds(500);
+constexpr absl::Duration kReportInterval = absl::Milliseconds(150);
+constexpr absl::Duration kMaxReportInterval = absl::Seconds(1);  // else a load's end is noticed too late
+constexpr int kRequestsPerReport = 4;                            // requests for each report
 // Between the turns of gateways to take the lease: the first few follow quickly, for a giver that went. Where
 // they don't get it, the store is down or another holds it, and each further one that asks costs a call.
-constexpr absl::Duration kTurnStep = absl::Milliseconds(400);
-constexpr forwarding::TurnSchedule kTurns = {kTurnStep, 5, absl::Seconds(1)};
-constexpr absl::Duration kClosedFor =
+constexpr absl::Duration kLeaseTurnStep = absl::Milliseconds(400);
+constexpr forwarding::TurnSchedule kLeaseTurns = {kLeaseTurnStep, 5, absl::Seconds(1)};
+constexpr absl::Duration kLoadBlockDuration =
     absl::Milliseconds(3500);  // an engine with an order, unless told otherwise
-constexpr absl::Duration kReservedFor = absl::Milliseconds(1500);
-constexpr absl::Duration kReportLag =
+constexpr absl::Duration kReserveBlockDuration = absl::Milliseconds(1500);
+constexpr absl::Duration kOrderReportDelay =
     absl::Milliseconds(700);  // after which a report must show an order taken
-constexpr absl::Duration kLoadLimit = absl::Seconds(6);
-constexpr uint32_t kFailuresAtMost = 3;
+constexpr absl::Duration kLoadTimeout = absl::Seconds(6);
+constexpr uint32_t kMaxReportFailures = 3;
 constexpr int kOk = 200;
 constexpr int kAccepted = 202;
 constexpr int kFenced = 412;
@@ -33,51 +33,52 @@
 
 }  // namespace
 
-OrderGiver::OrderGiver(Core& core, PeerExchange& peers)
+WeightLoader::WeightLoader(Core& core, PeerExchange& peers)
     : core_(core),
       peers_(peers),
-      lease_(core, kLeaseRow, [this] { peers_.announceOrders(lease_.validUntil()); }) {}
+      lease_(core, kLeaseRow, [this] { peers_.announceOrderLease(lease_.validUntil()); }) {}
 
-void OrderGiver::tick() {
+void WeightLoader::tick() {
   const absl::Time now = reactor::steadyNow();
   if (!lease_.holds(now)) {
     reserved_.clear();
   }
-  is_due_ = !loads_.empty();
+  is_work_due_ = !loads_.empty();
   std::vector<std::pair<ModelName, forwarding::RolloutPlan>> plans;
   for (const auto& [model, versions] : core_.weights.all()) {
     plans.emplace_back(model,
-                       forwarding::planRollout(enginesOf(model, now), model, core_.weights,
+                       forwarding::planRollout(rolloutEngines(model, now), model, core_.weights,
                                                core_.settings.bounds.weights_in_force, load_time_.expected(),
                                                forwarding::RolloutSettings(), now));
     // The lease is taken a moment before the first order.
-    is_due_ = is_due_ || now >= plans.back().second.next_start - kTurnStep;
+    is_work_due_ = is_work_due_ || now >= plans.back().second.next_start - kLeaseTurnStep;
   }
   // A gateway that stops goes on with what it holds, but takes nothing new.
-  const bool is_lease_needed = is_due_ && (!core_.is_stopping || lease_.holds(now));
-  const bool is_to_be_taken = is_lease_needed && !lease_.holds(now);
-  lease_.pursue(is_lease_needed, is_to_be_taken ? turnDelay(now) : absl::ZeroDuration(), peers_.ordersHeard(),
-                now);
+  const bool is_lease_needed = is_work_due_ && (!core_.is_stopping || lease_.holds(now));
+  const bool needs_acquisition = is_lease_needed && !lease_.holds(now);
+  lease_.maintain(is_lease_needed, needs_acquisition ? leaseTurnDelay(now) : absl::ZeroDuration(),
+                  peers_.lastOrderAnnouncement(), now);
   if (lease_.mayAct(now)) {
     for (const auto& [model, plan] : plans) {
-      carryOut(model, plan, now);
+      executePlan(model, plan, now);
     }
   }
-  core_.timers.schedule(now + kTick, [this] { tick(); });
+  core_.timers.schedule(now + kTickInterval, [this] { tick(); });
 }
 
 // Gateways try one after the other, so that they don't all ask at once. The order is by hashes: gateways of
 // one zone, which may be cut off together, have neighbouring ids.
-absl::Duration OrderGiver::turnDelay(absl::Time now) const {
+absl::Duration WeightLoader::leaseTurnDelay(absl::Time now) const {
   const auto place_of = [](const NodeId& gateway) { return hashOf(gateway.value()); };
   const uint64_t own = place_of(core_.settings.gateway_id);
   const std::vector<NodeId> peers = peers_.livePeers(now);
   const int64_t before =
       std::count_if(peers.begin(), peers.end(), [&](const NodeId& peer) { return place_of(peer) < own; });
-  return kTurns.after(before);
+  return kLeaseTurns.after(before);
 }
 
-std::vector<forwarding::RolloutEngine> OrderGiver::enginesOf(const ModelName& model, absl::Time now) const {
+std::vector<forwarding::RolloutEngine> WeightLoader::rolloutEngines(const ModelName& model,
+                                                                    absl::Time now) const {
   std::vector<forwarding::RolloutEngine> engines;
   for (const auto& [id, server] : core_.directory.all()) {
     const auto version = server->versionOf(model);
@@ -97,9 +98,9 @@
   return engines;
 }
 
-void OrderGiver::carryOut(const ModelName& model, const forwarding::RolloutPlan& plan, absl::Time now) {
+void WeightLoader::executePlan(const ModelName& model, const forwarding::RolloutPlan& plan, absl::Time now) {
   for (const std::string& id : plan.order) {
-    begin(id, model, now);
+    beginLoad(id, model, now);
   }
   for (const std::string& id : plan.reserve) {
     const auto server = core_.directory.find(id);
@@ -108,12 +109,12 @@
     }
     reserved_.try_emplace(server->identity_hash, now);
     if (now >= server->loading_until) {
-      close(server, model, kReservedFor);
+      blockRequests(server, model, kReserveBlockDuration);
     }
   }
 }
 
-void OrderGiver::begin(const std::string& server_id, const ModelName& model, absl::Time now) {
+void WeightLoader::beginLoad(const std::string& server_id, const ModelName& model, absl::Time now) {
   const auto server = core_.directory.find(server_id);
   if (server == nullptr) {
     return;
@@ -122,65 +123,66 @@
   load.server = server;
   load.model = model;
   load.target = core_.weights.newest(model);
-  load.began = now;
+  load.started_at = now;
   reserved_.erase(server->identity_hash);
   load.caller = std::make_unique<reactor::HttpCaller>(core_.reactor, core_.timers, server->entry.address);
   loads_.emplace(server_id, std::move(load));
-  close(server, model, kClosedFor);
-  askReport(server_id);
+  blockRequests(server, model, kLoadBlockDuration);
+  requestReport(server_id);
 }
 
-void OrderGiver::close(const forwarding::ServerDirectory::ServerPointer& server, const ModelName& model,
-                       absl::Duration closed_for) {
+void WeightLoader::blockRequests(const forwarding::ServerDirectory::ServerPointer& server,
+                                 const ModelName& model, absl::Duration block_duration) {
   const absl::Time now = reactor::steadyNow();
-  server->loading_until = closed_for == absl::ZeroDuration() ? absl::InfinitePast() : now + closed_for;
+  server->loading_until =
+      block_duration == absl::ZeroDuration() ? absl::InfinitePast() : now + block_duration;
   EngineDigest digest;
   digest.server = server->identity_hash;
   digest.model = hashOf(model.value());
   digest.version = server->versionOf(model).value_or(WeightsVersion()).value();
-  digest.closed_ms = static_cast<uint32_t>(absl::ToInt64Milliseconds(closed_for));
+  digest.closed_ms = static_cast<uint32_t>(absl::ToInt64Milliseconds(block_duration));
   peers_.announce(digest);
 }
 
-void OrderGiver::askReport(const std::string& server_id) {
+void WeightLoader::requestReport(const std::string& server_id) {
   loads_.at(server_id).caller->call(
-      core_.dialect->askReport(), kCallLimit,
-      [this, server_id](const Result<reactor::HttpReply>& reply) { takeReport(server_id, reply); });
+      core_.dialect->askReport(), kCallTimeout,
+      [this, server_id](const Result<reactor::HttpReply>& reply) { handleReport(server_id, reply); });
 }
 
-void OrderGiver::noteReply(const Load& load, const Result<reactor::HttpReply>& reply) {
+void WeightLoader::noteReply(const Load& load, const Result<reactor::HttpReply>& reply) {
   if (reply.has_value()) {
     noteBackPressure(core_, *load.server, core_.dialect->readAnswer(reply.value().head), true,
                      reactor::steadyNow());
   }
 }
 
-void OrderGiver::takeReport(const std::string& server_id, const Result<reactor::HttpReply>& reply) {
+void WeightLoader::handleReport(const std::string& server_id, const Result<reactor::HttpReply>& reply) {
   Load& load = loads_.at(server_id);
   noteReply(load, reply);
   const absl::Time now = reactor::steadyNow();
-  const bool is_given_up = now - load.began > kLoadLimit || load.server->isLeaving();
-  if (is_given_up) {
-    finish(server_id, false);
+  const bool is_abandoned = now - load.started_at > kLoadTimeout || load.server->isLeaving();
+  if (is_abandoned) {
+    finishLoad(server_id, false);
     return;
   }
   if (reply.has_error() || reply.value().head.status != kOk) {
-    if (++load.failures >= kFailuresAtMost) {
+    if (++load.failures >= kMaxReportFailures) {
       forwarding::ServerDirectory::noteConnectFailure(*load.server, now);
-      finish(server_id, false);
+      finishLoad(server_id, false);
       return;
     }
-    askAgain(server_id, kReportPause);
+    requestReportLater(server_id, kReportInterval);
     return;
   }
   const auto report = core_.dialect->readReport(reply.value().body);
   if (report.has_error()) {
     core_.log.event("report_refused", now).with("server", server_id).with("why", report.error().message);
-    finish(server_id, false);
+    finishLoad(server_id, false);
     return;
   }
-  if (!isOfThisLife(load, report.value())) {
-    finish(server_id, false);
+  if (!isSameIncarnation(load, report.value())) {
+    finishLoad(server_id, false);
     return;
   }
   for (const LoadedModel& model : report.value().models) {
@@ -190,21 +192,22 @@
   }
   if (load.server->versionOf(load.model).value_or(WeightsVersion()) >= load.target &&
       !report.value().is_busy) {
-    finish(server_id, true);
+    finishLoad(server_id, true);
     return;
   }
-  const bool may_be_under_way = report.value().is_busy || now - load.ordered < kReportLag;
+  const bool may_be_under_way = report.value().is_busy || now - load.last_order_at < kOrderReportDelay;
   if (may_be_under_way) {
-    askAgain(server_id, kReportPause);
+    requestReportLater(server_id, kReportInterval);
     return;
   }
-  giveOrder(server_id, report.value().orders_taken);
+  sendOrder(server_id, report.value().orders_taken);
 }
 
-bool OrderGiver::isOfThisLife(const Load& load, const forwarding::EngineReport& report) {
+bool WeightLoader::isSameIncarnation(const Load& load, const forwarding::EngineReport& report) {
   const forwarding::ServerEntry& entry = load.server->entry;
-  const bool is_told = report.started != absl::InfinitePast() && core_.isPlausibleStart(report.started);
-  if (!is_told || report.started == entry.started) {
+  const bool has_start_time =
+      report.started != absl::InfinitePast() && core_.isPlausibleStart(report.started);
+  if (!has_start_time || report.started == entry.started) {
     return true;
   }
   const bool is_later = report.started > entry.started;
@@ -218,15 +221,15 @@
   return false;
 }
 
-void OrderGiver::giveOrder(const std::string& server_id, uint64_t orders_taken) {
+void WeightLoader::sendOrder(const std::string& server_id, uint64_t orders_taken) {
   Load& load = loads_.at(server_id);
   const absl::Time now = reactor::steadyNow();
   if (!lease_.mayAct(now)) {
-    finish(server_id, false);
+    finishLoad(server_id, false);
     return;
   }
   load.target = core_.weights.newest(load.model);
-  load.ordered = now;
+  load.last_order_at = now;
   load.fence = lease_.fence();
   core_.log.event("order", now)
       .with("server", server_id)
@@ -236,12 +239,13 @@
       .with("orders_taken", static_cast<int64_t>(orders_taken));
   load.caller->call(core_.dialect->loadWeights({load.model, load.target}, core_.settings.gateway_id.value(),
                                                load.fence, orders_taken, server_id),
-                    kCallLimit, [this, server_id](const Result<reactor::HttpReply>& reply) {
-                      takeOrderAnswer(server_id, reply);
+                    kCallTimeout, [this, server_id](const Result<reactor::HttpReply>& reply) {
+                      handleOrderResponse(server_id, reply);
                     });
 }
 
-void OrderGiver::takeOrderAnswer(const std::string& server_id, const Result<reactor::HttpReply>& reply) {
+void WeightLoader::handleOrderResponse(const std::string& server_id,
+                                       const Result<reactor::HttpReply>& reply) {
   Load& load = loads_.at(server_id);
   noteReply(load, reply);
   const absl::Time now = reactor::steadyNow();
@@ -252,61 +256,61 @@
       .with("fence", static_cast<int64_t>(load.fence.value()));
   if (status == kOk) {
     forwarding::ServerDirectory::noteVersion(*load.server, load.model, load.target);
-    finish(server_id, true);
+    finishLoad(server_id, true);
     return;
   }
   if (status == kMisdirected) {
     forwarding::ServerDirectory::noteReplaced(*load.server, now);
-    finish(server_id, false);
+    finishLoad(server_id, false);
     return;
   }
   if (status == kFenced) {
     lease_.onFenced();
-    finish(server_id, false);
+    finishLoad(server_id, false);
     return;
   }
   const bool was_refused = reply.has_value() && status != kAccepted;
   if (was_refused) {
-    load.ordered = absl::InfinitePast();
+    load.last_order_at = absl::InfinitePast();
   }
-  askAgain(server_id, kReportPause);
+  requestReportLater(server_id, kReportInterval);
 }
 
 // Reports count among what an engine takes: of a rate that it named they use up a quarter at most, and a rest
 // that it asked for holds for them, too.
-void OrderGiver::askAgain(const std::string& server_id, absl::Duration after) {
+void WeightLoader::requestReportLater(const std::string& server_id, absl::Duration after) {
   const Load& load = loads_.at(server_id);
   const forwarding::BackPressure& pressure = *load.server->back_pressure;
-  const absl::Duration paced =
-      std::max(after, std::min(kReportsOfRate * pressure.timePerRequest(), kLongestReportPause));
-  const absl::Time rested = std::min(pressure.restsUntil(), load.began + kLoadLimit);
-  const absl::Time at = std::max(reactor::steadyNow() + paced, rested);
+  const absl::Duration paced_delay =
+      std::max(after, std::min(kRequestsPerReport * pressure.timePerRequest(), kMaxReportInterval));
+  const absl::Time back_off_end = std::min(pressure.restsUntil(), load.started_at + kLoadTimeout);
+  const absl::Time at = std::max(reactor::steadyNow() + paced_delay, back_off_end);
   core_.timers.schedule(at, [this, server_id] {
     const auto found = loads_.find(server_id);
     if (found == loads_.end()) {
       return;
     }
     if (found->second.server->back_pressure->rests(reactor::steadyNow())) {
-      finish(server_id, false);
+      finishLoad(server_id, false);
     } else {
-      askReport(server_id);
+      requestReport(server_id);
     }
   });
 }
 
-void OrderGiver::finish(const std::string& server_id, bool is_done) {
+void WeightLoader::finishLoad(const std::string& server_id, bool is_done) {
   const auto found = loads_.find(server_id);
   Load load = std::move(found->second);
   loads_.erase(found);
   const absl::Time now = reactor::steadyNow();
   if (is_done) {
-    load_time_.note(now - load.began);
+    load_time_.note(now - load.started_at);
   }
   core_.log.event("load_ended", now)
       .with("server", server_id)
       .with("done", is_done ? "true" : "false")
-      .with("took_ms", now - load.began);
-  close(load.server, load.model, absl::ZeroDuration());
+      .with("took_ms", now - load.started_at);
+  blockRequests(load.server, load.model, absl::ZeroDuration());
   // The caller is in the middle of its answer: it goes once the reactor is back.
   core_.timers.schedule(now, [caller = std::shared_ptr<reactor::HttpCaller>(std::move(load.caller))] {});
 }
--- a/src/gateway/weights_record.cc
+++ b/src/gateway/weights_record.cc
@@ -22,14 +22,14 @@
 
 }  // namespace
 
-void WeightsRecord::take(const forwarding::TableNews& news) {
+void WeightsRecord::take(const forwarding::TableNews& update) {
   const absl::Time now = reactor::steadyNow();
   const std::optional<absl::Duration> store_clock = core_.storeClock(now);
   if (!store_clock) {
     core_.log.event("weights_record_unread", now).with("why", "the store's clock is not known yet");
     return;
   }
-  for (const forwarding::StoreRow& row : news.rows) {
+  for (const forwarding::StoreRow& row : update.rows) {
     const auto weights = parseKey(row.key);
     const auto named_at = parseWhole(row.value);
     if (row.is_gone) {
--- a/src/gateway/weights_record.h
+++ b/src/gateway/weights_record.h
@@ -18,7 +18,7 @@
   static constexpr const char* kTable = "gateway-weights";
 
   // Takes what was recorded, whoever read it.
-  void take(const forwarding::TableNews& news);
+  void take(const forwarding::TableNews& update);
   // A version was named just now, as the store told. `written`: the table has the row, whoever wrote it.
   void record(const forwarding::NamedWeights& weights, std::function<void()> written);
 
--- a/tests/gateway/packed_rows_test.cc
+++ b/tests/gateway/packed_rows_test.cc
@@ -6,7 +6,7 @@
 #include <catch2/catch.hpp>
 
 #include "gateway/relay_messages.h"
-#include "gateway/whole_answers.h"
+#include "gateway/snapshot_limiter.h"
 
 namespace quincewick::gateway {
 namespace {
@@ -46,16 +46,16 @@
 }
 
 TEST_CASE("an answer is read packed or plain, as the peer's build gives it") {
-  RelayAnswer answer;
-  answer.rows = servers(3);
-  answer.is_whole = true;
-  answer.version = 9;
-  const auto plain = decodeEitherAnswer(encodeRelayAnswer(answer));
+  RelayResponse response;
+  response.rows = servers(3);
+  response.is_whole = true;
+  response.version = 9;
+  const auto plain = decodeAnyRelayResponse(encodeRelayResponse(response));
   REQUIRE(plain.has_value());
   CHECK(plain.value().rows.size() == 3);
-  PackedRelayAnswer packed{answer, packRows(answer.rows)};
-  packed.answer.rows.clear();
-  const auto unpacked = decodeEitherAnswer(encodePackedAnswer(packed));
+  PackedRelayResponse packed{response, packRows(response.rows)};
+  packed.response.rows.clear();
+  const auto unpacked = decodeAnyRelayResponse(encodePackedResponse(packed));
   REQUIRE(unpacked.has_value());
   CHECK(unpacked.value().rows.size() == 3);
   CHECK(unpacked.value().version == 9);
@@ -78,18 +78,18 @@
 }
 
 TEST_CASE("so many followers get a whole table at once, the next when one has it or went") {
-  WholeAnswers answers;
+  SnapshotLimiter answers;
   const absl::Time now = absl::FromUnixSeconds(1000);
-  for (size_t number = 0; number < WholeAnswers::kAtOnce; ++number) {
-    CHECK(answers.mayBegin(now));
+  for (size_t number = 0; number < SnapshotLimiter::kMaxConcurrent; ++number) {
+    CHECK(answers.maySend(now));
     answers.noteSent(NodeId(absl::StrCat("g-", number)), now);
   }
-  CHECK_FALSE(answers.mayBegin(now));
-  answers.noteAsked(NodeId("g-5"));
-  CHECK(answers.mayBegin(now));
+  CHECK_FALSE(answers.maySend(now));
+  answers.noteDelivered(NodeId("g-5"));
+  CHECK(answers.maySend(now));
   answers.noteSent(NodeId("g-new"), now);
-  CHECK_FALSE(answers.mayBegin(now + absl::Seconds(1)));
-  CHECK(answers.mayBegin(now + absl::Seconds(3)));
+  CHECK_FALSE(answers.maySend(now + absl::Seconds(1)));
+  CHECK(answers.maySend(now + absl::Seconds(3)));
 }
 
 }  // namespace
--- a/tests/gateway/peer_digest_test.cc
+++ b/tests/gateway/peer_digest_test.cc
@@ -15,10 +15,10 @@
       load.loads.push_back({*rc::gen::arbitrary<uint64_t>(), *rc::gen::arbitrary<uint16_t>(), 7});
     }
     digest.load = *rc::gen::arbitrary<bool>() ? std::optional(load) : std::nullopt;
-    digest.has_news = *rc::gen::arbitrary<bool>();
+    digest.has_updates = *rc::gen::arbitrary<bool>();
     digest.placements.push_back({*rc::gen::arbitrary<uint64_t>(), {{1, 2}, {3, 4}}});
     digest.zone = "z";
-    digest.reads_well = *rc::gen::arbitrary<bool>();
+    digest.is_zone_reader = *rc::gen::arbitrary<bool>();
     digest.seeks_reader = *rc::gen::arbitrary<bool>();
     digest.dead_stores = *rc::gen::arbitrary<std::vector<uint64_t>>();
     digest.zones.push_back({"y", load});
@@ -33,9 +33,9 @@
     RC_ASSERT(read.value().zones[0].load.part == 1);
     RC_ASSERT(read.value().zones[0].load.parts == 2);
     RC_ASSERT(read.value().zones[0].load.loads.size() == load.loads.size());
-    RC_ASSERT(read.value().reads_well == digest.reads_well);
+    RC_ASSERT(read.value().is_zone_reader == digest.is_zone_reader);
     RC_ASSERT(read.value().seeks_reader == digest.seeks_reader);
-    RC_ASSERT(read.value().has_news == digest.has_news);
+    RC_ASSERT(read.value().has_updates == digest.has_updates);
     RC_ASSERT(read.value().load.has_value() == digest.load.has_value());
     const bool has_all = !digest.load || read.value().load->loads.size() == load.loads.size();
     RC_ASSERT(has_all);
@@ -61,7 +61,7 @@
       last += *rc::gen::inRange<uint64_t>(1, uint64_t{1} << 50);  // hashes of servers differ
       load.server = last;
     }
-    const std::vector<LoadPart> parts = cutIntoParts(loads, 65);
+    const std::vector<LoadPart> parts = splitIntoParts(loads, 65);
     size_t sum = 0;
     for (size_t index = 0; index < parts.size(); ++index) {
       RC_ASSERT(parts[index].part == index);
@@ -77,7 +77,7 @@
 TEST_CASE("loads of servers whose hashes are alike end in one part, however many they are") {
   const std::vector<LoadDigest> loads(200, LoadDigest{7, 1, 1});
   size_t largest = 0;
-  for (const LoadPart& part : cutIntoParts(loads, 65)) {
+  for (const LoadPart& part : splitIntoParts(loads, 65)) {
     largest = std::max(largest, part.loads.size());
   }
   CHECK(largest == 200);
--- a/tests/gateway/rollout_messages_test.cc
+++ b/tests/gateway/rollout_messages_test.cc
@@ -13,7 +13,7 @@
   RolloutAccount account;
   account.service = staged_rollout::ServiceName("pool");
   account.request_row = 5;
-  account.life = 6;
+  account.incarnation = 6;
   account.confirmed_row = 7;
   for (size_t number = 0; number < strata; ++number) {
     const staged_rollout::Stratum stratum{number, number % 2 == 0};
@@ -53,9 +53,9 @@
 TEST_CASE("a large account is cut into datagrams, and none of it is lost") {
   const RolloutAccount whole = account(40);
   staged_rollout::AnswerAccount together;
-  for (const RolloutAccount& part : cutIntoDatagrams(whole)) {
+  for (const RolloutAccount& part : splitIntoDatagrams(whole)) {
     CHECK(encodeRolloutMessage({std::nullopt, part}).size() <= peer::kMaximumDatagramPayload);
-    CHECK(part.life == whole.life);
+    CHECK(part.incarnation == whole.incarnation);
     together.base.insert(part.counts.base.begin(), part.counts.base.end());
     together.target.insert(part.counts.target.begin(), part.counts.target.end());
   }
