--- a/src/gateway/cache_store_watch.cc
+++ b/src/gateway/cache_store_watch.cc
@@ -30,7 +30,7 @@
       core_.timers.schedule(reactor::steadyNow() + kConnectLimit, [this, name] { finishProbe(name, false); });
   const auto connected = [this, name](reactor::ConnectResult result) {
     const bool is_reached = result == reactor::ConnectResult::kUp;
-    // Not from within the connection's own call.
+    // Deferred: the probe must not destroy the connection within its own callback.
     core_.timers.schedule(reactor::steadyNow(), [this, name, is_reached] { finishProbe(name, is_reached); });
   };
   probe.connection = reactor::Connection::connect(core_.reactor, store, connected);
--- a/src/gateway/cache_store_watch.h
+++ b/src/gateway/cache_store_watch.h
@@ -1,5 +1,5 @@
-// Watches whether the site's stores of kept cache can be reached: an engine that is told to fetch from a dead
-// one waits for it. A zone's reader of the store of rows watches for its zone; the others hear it from its
+// Probes whether the site's cache stores are reachable, because an engine that is told to fetch from an
+// unreachable one waits for it. A zone reader probes for its zone; the other gateways get the result from its
 // digests.
 #pragma once
 
@@ -17,14 +17,14 @@
 
 class CacheStoreWatch {
  public:
-  // `watches`: whether it is this gateway that looks.
+  // `watches`: whether this gateway probes for its zone.
   CacheStoreWatch(Core& core, std::function<bool()> watches) : core_(core), watches_(std::move(watches)) {}
 
   void start() { tick(); }
 
  private:
   struct Probe {
-    std::shared_ptr<reactor::Connection> connection;  // null: none is under way
+    std::shared_ptr<reactor::Connection> connection;  // null while no probe is in progress
     reactor::TimerQueue::Key limit;
     uint32_t failures = 0;  // in a row
   };
@@ -35,7 +35,7 @@
 
   Core& core_;
   std::function<bool()> watches_;
-  absl::flat_hash_map<uint64_t, Probe> probes_;  // by the store's name
+  absl::flat_hash_map<uint64_t, Probe> probes_;  // by the cache store's name
 };
 
 }  // namespace quincewick::gateway
--- a/src/gateway/configuration_confirmer.cc
+++ b/src/gateway/configuration_confirmer.cc
@@ -6,7 +6,7 @@
 
 using forwarding::ConfirmationSchedule;
 
-// A gateway that knows no configuration yet rejects requests, and is told one by its zone's reader.
+// A gateway without a configuration rejects requests, and gets its first one from its zone's reader.
 void ConfigurationConfirmer::tick(absl::FunctionRef<bool()> has_live_reader, absl::Time now) {
   const absl::Duration bound = core_.settings.bounds.configuration_in_force;
   const bool may_send = !is_request_pending_ && core_.in_force.configuration != nullptr;
--- a/src/gateway/configuration_confirmer.h
+++ b/src/gateway/configuration_confirmer.h
@@ -1,5 +1,5 @@
-// Reads the operator's rows from the store once the configuration in force was confirmed too long ago, in
-// place of the reader that this gateway follows.
+// Reads the operator's rows directly from the store when the configuration in force was last confirmed too
+// long ago, instead of relying on the reader that this gateway follows.
 #pragma once
 
 #include <absl/functional/function_ref.h>
@@ -22,8 +22,8 @@
   ConfigurationConfirmer(Core& core, UpdateHandler on_update)
       : core_(core), on_update_(std::move(on_update)), reader_(core) {}
 
-  // Asks if a confirmation is due and none is under way. `has_live_reader`: whether somebody gets answers of
-  // the store.
+  // Starts a read if a confirmation is due and none is in progress. `has_live_reader`: whether this gateway
+  // or a peer gets responses from the store.
   void tick(absl::FunctionRef<bool()> has_live_reader, absl::Time now);
 
  private:
--- a/src/gateway/lease_client.cc
+++ b/src/gateway/lease_client.cc
@@ -50,7 +50,7 @@
                 const auto record =
                     row_exists ? forwarding::parseLeaseRecord(response.rows.front().value) : std::nullopt;
                 if (row_exists && !record) {
-                  refused_rows_.note(row_, "no holder, fence and end of a lease");
+                  refused_rows_.note(row_, "the value is not a lease with holder, fencing token and expiry");
                 }
                 last_read_ = record;
                 const uint64_t version = row_exists ? response.rows.front().version : 0;
@@ -59,7 +59,7 @@
                 if (next) {
                   write(*next);
                 } else {
-                  needed_since_ = reactor::steadyNow();  // another holds it
+                  needed_since_ = reactor::steadyNow();  // another gateway holds it
                 }
               });
 }
@@ -97,7 +97,7 @@
   } else {
     lease_.onNotWritten();
   }
-  // A write that was done counts for nothing where the store went back meanwhile.
+  // A completed write does not count if the store was rolled back in the meantime.
   const bool is_held = lease_.holds(now);
   if (is_held) {
     on_renewed_();
--- a/src/gateway/lease_client.h
+++ b/src/gateway/lease_client.h
@@ -1,4 +1,4 @@
-// Takes a lease row of the store when it is this gateway's turn, and renews it while it is needed.
+// Acquires a lease (a row of the store) when it is this gateway's turn, and renews it while it is needed.
 #pragma once
 
 #include <absl/time/time.h>
@@ -16,21 +16,21 @@
 
 class LeaseClient {
  public:
-  // `row`: the lease's key; `on_renewed`: it was taken or renewed just now.
+  // `row`: the lease's key. `on_renewed`: called after each acquisition and renewal.
   LeaseClient(Core& core, std::string row, std::function<void()> on_renewed);
 
-  // Called again and again. Not needed: it is left to run out. Else it is renewed, or taken once `turn` has
-  // passed since it was needed and since another was last heard to hold it.
+  // Called periodically. A lease that is not needed is left to expire. Otherwise it is renewed, or acquired
+  // once `turn` has passed both since it became needed and since another holder was last heard.
   void maintain(bool is_needed, absl::Duration turn, absl::Time holder_last_heard, absl::Time now);
   bool holds(absl::Time now) const { return lease_.holds(now); }
-  // Whether the holder may act: not near the lease's end.
+  // Whether the holder may act under the lease: false near its expiry.
   bool mayAct(absl::Time now) const { return lease_.mayOrder(now); }
-  // The lease ends then unless it is renewed.
+  // When the lease expires unless it is renewed.
   absl::Time validUntil() const { return lease_.validUntil(); }
   Epoch fence() const { return lease_.fence(); }
-  // The row's version, as the last write was answered.
+  // The row's version, from the response to the last write.
   uint64_t rowVersion() const { return lease_.version(); }
-  // A higher fence was seen, if told which: this holder is not the last one.
+  // Called when a higher fencing token was seen (`seen`, if known): a later holder exists.
   void onFenced(Epoch seen = Epoch()) { lease_.onFenced(seen); }
 
  private:
@@ -47,7 +47,7 @@
   std::function<void()> on_renewed_;
   forwarding::OrderLease lease_;
   RefusedRows refused_rows_;
-  std::optional<forwarding::LeaseRecord> last_read_;  // by the last reading
+  std::optional<forwarding::LeaseRecord> last_read_;  // the record that the last read returned
   bool is_call_pending_ = false;
   absl::Time next_renewal_ = absl::InfinitePast();
   absl::Time next_attempt_ = absl::InfinitePast();
--- a/src/gateway/packed_rows.cc
+++ b/src/gateway/packed_rows.cc
@@ -7,9 +7,9 @@
 namespace quincewick::gateway {
 namespace {
 
-// Rows repeat each other but for a few numbers: a quick level finds that.
+// Rows differ in only a few numbers, which a fast level compresses well.
 constexpr int kCompressionLevel = 1;
-// Of rows unpacked: 100,000 servers.
+// Limit of the unpacked rows, enough for 100,000 servers.
 constexpr uint64_t kMaxUnpackedBytes = uint64_t{32} << 20;
 
 }  // namespace
@@ -26,12 +26,12 @@
 Result<std::vector<forwarding::StoreRow>> unpackRows(std::string_view bytes) {
   const uint64_t size = ZSTD_getFrameContentSize(bytes.data(), bytes.size());
   if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN || size > kMaxUnpackedBytes) {
-    return fail(ErrorCode::kInvalidArgument, "packed rows have no size, or too great a one");
+    return fail(ErrorCode::kInvalidArgument, "the size of packed rows is missing or above the limit");
   }
   std::string plain(size, '\0');
   const size_t unpacked = ZSTD_decompress(plain.data(), plain.size(), bytes.data(), bytes.size());
   if (ZSTD_isError(unpacked) != 0 || unpacked != size) {
-    return fail(ErrorCode::kInvalidArgument, "packed rows can't be unpacked");
+    return fail(ErrorCode::kInvalidArgument, "packed rows can't be decompressed");
   }
   return decodeRows(plain);
 }
--- a/src/gateway/packed_rows.h
+++ b/src/gateway/packed_rows.h
@@ -1,4 +1,4 @@
-// Rows of a table, compressed: a zone's followers all get the whole list of servers at a start, over one
+// Compresses rows of a table: at a start, all followers of a zone get the complete list of servers over their
 // reader's link.
 #pragma once
 
@@ -12,8 +12,8 @@
 namespace quincewick::gateway {
 
 std::string packRows(const std::vector<forwarding::StoreRow>& rows);
-// Unpacks untrusted bytes; what would take more memory than the largest table is refused. Errors:
-// kInvalidArgument.
+// Unpacks untrusted bytes. Errors: kInvalidArgument, also if they would take more memory than the largest
+// table.
 Result<std::vector<forwarding::StoreRow>> unpackRows(std::string_view bytes);
 
 }  // namespace quincewick::gateway
--- a/src/gateway/peer_digest.cc
+++ b/src/gateway/peer_digest.cc
@@ -67,7 +67,7 @@
       parts[index].parts = static_cast<uint16_t>(count);
       largest = std::max(largest, parts[index].loads.size());
     }
-    const bool is_unsplittable = count > loads.size();  // hashes that are alike can't be
+    const bool is_unsplittable = count > loads.size();  // loads with equal hashes can't be split
     if (largest <= max_loads || is_unsplittable) {
       return parts;
     }
--- a/src/gateway/peer_digest.h
+++ b/src/gateway/peer_digest.h
@@ -1,5 +1,5 @@
-// What gateways tell each other, several times a second: their work at servers, where they placed shared
-// parts of prompts, and what the giver of orders knows of engines. One datagram, encoded by cereal.
+// The digest that gateways send each other several times a second: their load at servers, placements of
+// shared prompt prefixes, and the state of engines that load weights. One datagram, encoded by cereal.
 #pragma once
 
 #include <cstddef>
@@ -16,7 +16,7 @@
 
 namespace quincewick::gateway {
 
-// A server is named by its identity hash, so that a digest about one life says nothing of another.
+// A server is identified by its identity hash, so that a digest applies to one incarnation only.
 struct LoadDigest {
   uint64_t server = 0;
   uint16_t running = 0;
@@ -28,15 +28,15 @@
   }
 };
 
-// Loads of the servers whose hash leaves `part` when divided by `parts`: one datagram's share of a whole
-// account. A server of that share that isn't named has no work.
+// Loads of the servers whose hash modulo `parts` is `part`: one datagram's share of a complete load report. A
+// server of this share that isn't listed has no load.
 struct LoadPart {
   uint16_t part = 0;
   uint16_t parts = 1;
   std::vector<LoadDigest> loads;
 };
 
-// The work of all gateways of a zone at servers.
+// The load of all gateways of a zone at servers.
 struct ZoneDigest {
   std::string zone;
   LoadPart load;
@@ -49,9 +49,9 @@
 
 struct EngineDigest {
   uint64_t server = 0;
-  uint64_t model = 0;      // the hash of its name
-  uint64_t version = 0;    // of the weights it has; 0: not known
-  uint32_t closed_ms = 0;  // it takes no new requests for so long
+  uint64_t model = 0;      // hash of its name
+  uint64_t version = 0;    // of its weights; 0: unknown
+  uint32_t closed_ms = 0;  // how long it takes no new requests
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -70,27 +70,29 @@
 };
 
 struct PeerDigest {
-  Address address;  // where the sender takes datagrams
+  Address address;  // where the sender receives datagrams
   std::string zone;
-  double capacity = 0;                // of the sender's machine
-  uint32_t gateways_known = 0;        // to the sender, itself among them, or told by another
-  bool is_zone_reader = false;        // the sender reads the store for its zone
-  bool seeks_reader = false;          // the sender neither reads the store nor follows one who does
-  bool holds_order_lease = false;     // the sender holds the lease for orders to engines
-  bool has_updates = false;           // all but loads; without it the lists below are empty and mean nothing
-  std::vector<uint64_t> dead_stores;  // of kept cache, by name; from a reader, for its zone
+  double capacity = 0;          // of the sender's machine
+  uint32_t gateways_known = 0;  // number known to the sender, including itself and those reported by others
+  bool is_zone_reader = false;  // the sender reads the store for its zone
+  bool seeks_reader = false;    // the sender neither reads the store nor follows a reader
+  bool holds_order_lease = false;  // the sender holds the order lease
+  bool has_updates =
+      false;  // the digest holds updates; if false, the lists other than loads are empty and must be ignored
+  std::vector<uint64_t> dead_stores;  // unreachable cache stores, by name; from a reader for its zone
   std::optional<LoadPart> load;       // of the sender itself
-  std::vector<ZoneDigest> zones;      // from a reader: its own zone's for other readers, theirs for its zone
+  std::vector<ZoneDigest> zones;  // from a reader: its zone's load for other readers, and theirs for its zone
   std::vector<PlacementDigest> placements;
   std::vector<EngineDigest> engines;
-  std::vector<CapabilityDigest> capabilities;  // of engines whose books the sender keeps, or as it was told
+  std::vector<CapabilityDigest> capabilities;  // of engines that the sender owns, or forwarded
 };
 
-// Cuts a whole account into as many parts as needed, of `max_loads` loads each at most; one that is empty
-// where there are no loads. Which part a server falls into depends on nothing but its hash and their number.
+// Splits a complete load report into parts of at most `max_loads` loads; servers with equal hashes share a
+// part regardless. Without loads, the result is one empty part. A server's part depends only on its hash and
+// the number of parts.
 std::vector<LoadPart> splitIntoParts(const std::vector<LoadDigest>& loads, size_t max_loads);
 
-// The hash by which digests name servers, models and stores.
+// The hash that identifies servers, models and cache stores in digests.
 uint64_t hashOf(std::string_view name);
 
 std::string encodeDigest(const PeerDigest& digest);
--- a/src/gateway/peer_directory.cc
+++ b/src/gateway/peer_directory.cc
@@ -17,14 +17,16 @@
 
 constexpr const char* kTable = "gateway-peers";
 constexpr const char* kKeyRow = "!key";  // sorts before the gateways' rows
-// Gateways of a new site start together and write one after the other, so that one alone writes the key.
+// Gateways of a new site start together. Spreading their writes lets a single one write the key.
 constexpr absl::Duration kNewSiteSpread = absl::Milliseconds(400);
-// Restarted ones only read, and can't serve before: as soon as the store's rate allows for a whole site.
+// Restarted gateways only read, and can't serve before that: the shortest spread that the store's rate limit
+// allows for a whole site.
 constexpr absl::Duration kRestartSpread = absl::Milliseconds(50);
 constexpr absl::Duration kInitialRetryDelay = absl::Milliseconds(400);
 constexpr absl::Duration kMaxRetryDelay = absl::Milliseconds(1600);
 constexpr double kRetryJitter = 0.3;
-// Who starts tells all whose rows it finds, so the rows are read again only in case that was lost.
+// A starting gateway contacts all peers whose rows it finds, so rereading the rows only covers lost
+// datagrams.
 constexpr absl::Duration kRowsInterval = absl::Minutes(2);
 
 std::string newSecret() {
@@ -63,8 +65,8 @@
       retry_delay_(kInitialRetryDelay),
       refused_rows_(core, kTable) {}
 
-// On a new site the own row can't be there yet and is written first; else it mostly is, and one reading is
-// all.
+// On a new site the own row can't exist yet and is written first. Otherwise it usually exists, and one read
+// is enough.
 void PeerDirectory::start(std::function<void()> ready) {
   ready_ = std::move(ready);
   const bool is_new = core_.settings.site_is_new;
@@ -83,7 +85,7 @@
   core_.timers.schedule(reactor::steadyNow() + after, [this] { readRows(); });
 }
 
-// Gateways that the store refuses together ask again apart, and less and less often.
+// Exponential backoff with jitter, so that gateways refused at the same time don't retry together.
 absl::Duration PeerDirectory::nextRetryDelay() {
   const absl::Duration pause = retry_delay_;
   retry_delay_ = std::min(retry_delay_ * 2, kMaxRetryDelay);
@@ -101,8 +103,8 @@
   });
 }
 
-// The key's row is written once, by the first gateway that finds none. The own row is written before others'
-// rows are read for the last time: of two that start together, one at least finds the other.
+// The key's row is written once, by the first gateway that finds none. The own row is written before the last
+// read of the others' rows, so that of two gateways that start together at least one finds the other.
 void PeerDirectory::applyRows(const TableSnapshot& table) {
   const std::string own_key = core_.settings.gateway_id.value();
   const std::string own_value = printPeer(core_.settings);
@@ -117,7 +119,7 @@
       has_own_row = row.value == own_value;
       own_version = row.version;
     } else if (const auto read = parsePeer(row.value); !read) {
-      refused_rows_.note(row.key, "no address, capacity and zone of a gateway");
+      refused_rows_.note(row.key, "the value is not a gateway's address, capacity and zone");
     } else {
       refused_rows_.forget(row.key);
       Peer& peer = peers_[NodeId(row.key)];
@@ -154,8 +156,8 @@
                [this](StoreStatus status, const forwarding::StoreRows& /*rows*/) { readAfterWrite(status); });
 }
 
-// Two gateways may write at the same moment; a conflict that comes again has another cause, and is no reason
-// to ask the store without a pause.
+// Two gateways may write at the same time, so the first conflict is retried at once. A repeated conflict has
+// another cause and is retried after a delay.
 void PeerDirectory::readAfterWrite(StoreStatus status) {
   const bool is_first_conflict = status == StoreStatus::kConflict && !std::exchange(had_conflict_, true);
   if (status == StoreStatus::kDone) {
@@ -175,7 +177,7 @@
     core_.log.event("peers_unheard", reactor::steadyNow()).with("why", ring.error().message);
     return;
   }
-  // The store's clock never goes back, unlike a machine's time of day.
+  // The store's clock is monotonic, unlike a machine's wall clock.
   const Incarnation incarnation(static_cast<uint64_t>(absl::ToInt64Milliseconds(store_clock)));
   authenticator_ =
       std::make_unique<peer::Authenticator>(core_.settings.gateway_id, incarnation, std::move(ring.value()));
--- a/src/gateway/peer_directory.h
+++ b/src/gateway/peer_directory.h
@@ -1,5 +1,5 @@
-// Who the other gateways of the site are, through rows of the store, and the key that all seal their messages
-// with: the first gateway writes it.
+// Discovers the other gateways of the site through rows of the store, and the shared key that authenticates
+// messages between them, which the first gateway writes.
 #pragma once
 
 #include <absl/container/btree_map.h>
@@ -19,14 +19,14 @@
 
 namespace quincewick::gateway {
 
-// Another gateway, as its row and its digests tell.
+// Another gateway, from its row and its digests.
 struct Peer {
-  Address address;  // UDP for digests, TCP for questions after rows
-  ZoneName zone;    // empty: not known yet
+  Address address;  // UDP for digests, TCP for row requests
+  ZoneName zone;    // empty: unknown yet
   absl::Time last_received = absl::InfinitePast();
   double capacity = 0;              // of its machine
-  bool is_zone_reader = false;      // it reads the store and gets answers
-  uint64_t last_engine_update = 0;  // what it was told of, by the numbers of the news
+  bool is_zone_reader = false;      // it reads the store for its zone, and its rows are fresh
+  uint64_t last_engine_update = 0;  // number of the last update sent to it, by kind
   uint64_t last_placement_update = 0;
   uint64_t last_capability_update = 0;
 };
@@ -35,14 +35,15 @@
  public:
   explicit PeerDirectory(Core& core);
 
-  // Finds the key, writes the own row and reads the others'. `ready`: the key is known.
+  // Reads or creates the key, writes the own row and reads the others'. `ready`: called once the key is
+  // known.
   void start(std::function<void()> ready);
 
   // Null until the key is known.
   peer::Authenticator* authenticator() const { return authenticator_.get(); }
   absl::btree_map<NodeId, Peer>& peers() { return peers_; }
   const absl::btree_map<NodeId, Peer>& peers() const { return peers_; }
-  // All gateways of the site, this one too, as those that may keep books for the others.
+  // All gateways of the site, including this one, as candidates for owners. Sorted by id.
   std::vector<routing::KeeperMember> ownerCandidates() const;
   bool isOwnZone(const Peer& peer) const { return peer.zone == core_.settings.zone; }
 
@@ -60,8 +61,8 @@
   StoreClient store_;
   SnapshotReader reader_;
   std::function<void()> ready_;
-  absl::Duration retry_delay_;  // until the next call where the store did not answer
-  bool had_conflict_ = false;   // the last write met a row that the reading before had not shown
+  absl::Duration retry_delay_;  // until the next call after a failed one
+  bool had_conflict_ = false;   // the last write met a row that the previous read did not show
   std::unique_ptr<peer::Authenticator> authenticator_;
   absl::btree_map<NodeId, Peer> peers_;
   RefusedRows refused_rows_;
--- a/src/gateway/peer_exchange.cc
+++ b/src/gateway/peer_exchange.cc
@@ -11,18 +11,18 @@
 using boost::asio::ip::udp;
 
 constexpr absl::Duration kDigestInterval = absl::Milliseconds(125);
-constexpr size_t kSmallSitePeers = 16;  // peers of a site in which all are near
+constexpr size_t kSmallSitePeers = 16;  // on a site with at most so many peers, all are near
 constexpr size_t kNearPeersPerTick = 8;
-constexpr uint32_t kTicksPerFarPeer = 4;  // between digests to far peers, one at a time
-constexpr absl::Duration kMinSilenceTimeout = absl::Milliseconds(1200);  // of a peer, on a small site
+constexpr uint32_t kTicksPerFarPeer = 4;  // between digests to single far peers
+constexpr absl::Duration kMinSilenceTimeout = absl::Milliseconds(1200);  // reached on a small site
 constexpr absl::Duration kRepeatDelay = absl::Milliseconds(300);
 constexpr absl::Duration kMinAnnouncementDuration = absl::Milliseconds(1500);
-constexpr absl::Duration kFarReaderTimeout = absl::Milliseconds(1500);  // of another zone's reader
-// What fits into one datagram, in bytes as digests are encoded.
+constexpr absl::Duration kFarReaderTimeout = absl::Milliseconds(1500);  // for another zone's reader
+// Budget of one datagram, and encoded sizes, in bytes.
 constexpr size_t kDigestBudgetBytes = 920;
 constexpr size_t kLoadBytes = 14;
 constexpr size_t kEngineBytes = 28;
-constexpr size_t kPlacementBytes = 12;  // and its keys
+constexpr size_t kPlacementBytes = 12;  // plus its keys
 constexpr size_t kKeyBytes = 16;
 constexpr size_t kStoreBytes = 8;
 constexpr size_t kCapabilityBytes = 16;
@@ -62,7 +62,7 @@
   socket_.non_blocking(true, error);
 }
 
-// Whoever reads the store for this gateway's zone hears of it at once, and answers.
+// Sends to the own zone at once: its reader learns of this gateway and replies.
 void PeerExchange::begin() {
   receive();
   for (auto& [id, peer] : directory_.peers()) {
@@ -148,7 +148,7 @@
   core_.new_placements.clear();
 }
 
-// One gateway's misdirected request is enough: the others hear of the engine's version before they send
+// After one gateway's misdirected request, the others learn the engine's version before they misdirect
 // theirs.
 void PeerExchange::collectVersions() {
   for (const Core::NewVersion& update : core_.new_versions) {
@@ -197,17 +197,17 @@
                      });
 }
 
-void PeerExchange::sendInTurn(bool near, size_t most, NodeId& last) {
+void PeerExchange::sendInTurn(bool near, size_t max_peers, NodeId& last) {
   auto& peers = directory_.peers();
   auto next = peers.upper_bound(last);
-  size_t told = 0;
-  for (size_t looked = 0; looked < peers.size() && told < most; ++looked) {
+  size_t sent = 0;
+  for (size_t visited = 0; visited < peers.size() && sent < max_peers; ++visited) {
     next = next == peers.end() ? peers.begin() : next;
     auto& [id, peer] = *next++;
     if (isNear(peer) == near) {
       sendUpdates(id, peer);
       last = id;
-      ++told;
+      ++sent;
     }
   }
 }
@@ -233,7 +233,7 @@
   }
 }
 
-// Readers of other zones that were heard of lately; one that only told that it reads is told back, too.
+// Sends zone loads to all readers of other zones, and updates to those heard from recently.
 void PeerExchange::sendToFarReaders() {
   const absl::Time now = reactor::steadyNow();
   const std::vector<LoadPart> parts = splitIntoParts(zoneLoads(), kLoadsPerDatagram);
@@ -286,7 +286,7 @@
   return digest;
 }
 
-// What the peer wasn't told yet, as far as it has room.
+// Includes only what fits into a datagram.
 PeerDigest PeerExchange::updatesFor(Peer& peer, std::optional<LoadPart> load, absl::Time now) {
   PeerDigest digest = digestHeader();
   digest.has_updates = true;
@@ -334,7 +334,7 @@
   return digest;
 }
 
-// The news go beside the last part of the loads, as far as there is room; what is left of them follows.
+// Sends the updates with the last part of the loads as far as they fit, and the remaining ones afterwards.
 void PeerExchange::sendUpdates(const NodeId& id, Peer& peer) {
   const absl::Time now = reactor::steadyNow();
   std::vector<LoadPart> parts =
--- a/src/gateway/peer_exchange.h
+++ b/src/gateway/peer_exchange.h
@@ -1,10 +1,10 @@
-// Tells the other gateways digests by datagrams and takes theirs.
+// Exchanges digests with the other gateways by UDP datagrams.
 //
-// Loads and placements go between near peers: those of the own zone, or all on a small site. Each tick tells
-// a bounded number of them, in turn: what a gateway sends a second does not grow with the site, only the age
-// of what it knows. A zone's reader of the store tells the readers of other zones what its zone does, and its
-// zone what they tell. Other far peers hear a digest now and then, and all hear at once of engines that are
-// closed for new weights.
+// Loads and placements are exchanged between near peers: those of the own zone, or all peers on a small site.
+// Each tick sends to a bounded number of them, round-robin, so that the send rate does not grow with the
+// site; only the staleness of the received state does. A zone reader sends its zone's loads to the readers of
+// other zones, and forwards theirs to its own zone. Other far peers are sent a digest occasionally. All peers
+// are notified at once of engines that take no requests while they load weights.
 #pragma once
 
 #include <absl/container/btree_map.h>
@@ -27,38 +27,38 @@
  public:
   PeerExchange(Core& core, PeerDirectory& directory);
 
-  // Whether this gateway reads the store and gets answers, or looks for one that does, as peers are told.
+  // Sets the callbacks for the reader flags of sent digests: whether this gateway is a working zone reader,
+  // and whether it has no reader to follow.
   void setReaderStatus(std::function<bool()> is_zone_reader, std::function<bool()> seeks_reader) {
     is_zone_reader_ = std::move(is_zone_reader);
     seeks_reader_ = std::move(seeks_reader);
   }
-  // Binds the address for peers; the exchange begins with `begin`, once the key is known.
+  // Binds the peer address. The exchange starts with `begin`, once the key is known.
   void listen();
   void begin();
-  // Takes the messages of another concern that come by the same socket; what can't be read is told in the
-  // log.
+  // Registers the handler for a module's messages on this socket. Messages that it rejects are logged.
   using MessageHandler = std::function<Result<void>(const NodeId& from, std::string_view payload)>;
   void setMessageHandler(peer::PeerModule module, MessageHandler handler) {
     handlers_[module] = std::move(handler);
   }
-  // Sends such a message; lost like any datagram, also where the peer isn't known.
+  // Sends a module's message to a peer. Delivery is not guaranteed; nothing is sent to an unknown peer.
   void sendTo(const NodeId& id, peer::PeerModule module, const std::string& payload);
-  // The same to every peer that is known.
+  // Sends a module's message to every known peer.
   void sendToAll(peer::PeerModule module, const std::string& payload);
-  // Becoming the zone's reader is told to all, at once.
+  // Notifies all peers at once when this gateway becomes a zone reader.
   void updateReaderStatus();
-  // This gateway holds the lease for orders until then: all peers hear of it soon.
+  // Notifies all peers that this gateway holds the order lease until `until`.
   void announceOrderLease(absl::Time until);
-  // When a peer last told that it gives orders.
+  // When a peer last announced that it holds the order lease.
   absl::Time lastOrderAnnouncement() const { return last_order_announcement_; }
-  // Tells all peers about an engine soon: it was closed, or has a version now.
+  // Queues an engine's new block or weights version to be sent to all peers soon.
   void announce(const EngineDigest& engine);
-  // Ids of peers heard of lately, in order.
+  // Ids of the live peers, sorted.
   std::vector<NodeId> livePeers(absl::Time now) const;
   bool isLive(const Peer& peer, absl::Time now) const;
-  // Whether any peer was heard lately that reads the store and gets answers.
+  // Whether any live peer is a working zone reader.
   bool hasLiveReader(absl::Time now) const;
-  // Whether there are near peers, and all of them are silent.
+  // Whether there are near peers and none of them is live.
   bool areNearPeersSilent(absl::Time now) const;
 
  private:
@@ -66,7 +66,7 @@
     uint64_t number = 0;
     EngineDigest engine;
     absl::Time until;
-    absl::Time repeat;  // then it is told once more, for datagrams get lost
+    absl::Time repeat;  // when it is sent once more, because datagrams get lost
   };
   enum class Origin : uint8_t { kOwn, kZone, kFar };
   struct PlacementUpdate {
@@ -80,15 +80,15 @@
     Origin origin = Origin::kOwn;
   };
   struct FarZone {
-    std::vector<LoadPart> parts;  // by number, as they were heard last
+    std::vector<LoadPart> parts;  // by number, as last received
     absl::Time last_received;
-    bool is_direct = false;  // from that zone's reader: it is passed on to the own zone
+    bool is_direct = false;  // received from that zone's own reader: forwarded to the own zone
   };
 
   void tick();
   bool isNear(const Peer& peer) const;
   void countPeers();
-  // For how long a peer may be unheard before it counts as down.
+  // How long a peer may be silent before it counts as down.
   absl::Duration silenceTimeout(bool is_near) const;
   void collectPlacements();
   void collectVersions();
@@ -97,8 +97,8 @@
   void addCapability(const CapabilityDigest& capability, Origin origin);
   bool isFarReader(const Peer& peer, absl::Time now) const;
   bool isRelevantTo(Origin origin, const Peer& peer) const;
-  // Tells up to `most` peers of the kind in turn, those behind `last` first.
-  void sendInTurn(bool near, size_t most, NodeId& last);
+  // Sends to up to `max_peers` near (or far) peers, round-robin, starting after `last`.
+  void sendInTurn(bool near, size_t max_peers, NodeId& last);
   void sendEngineUpdates();
   void sendToFarReaders();
   std::vector<LoadDigest> ownLoads() const;
@@ -107,7 +107,7 @@
   void send(const NodeId& id, const Peer& peer, peer::PeerModule module, const std::string& payload);
   void send(const NodeId& id, const Peer& peer, const PeerDigest& digest);
   PeerDigest digestHeader() const;
-  // With a part of the loads beside them.
+  // Returns a digest with the updates not yet sent to the peer, and `load`.
   PeerDigest updatesFor(Peer& peer, std::optional<LoadPart> load, absl::Time now);
   bool hasPlacementUpdatesFor(const Peer& peer) const;
   void receive();
@@ -126,15 +126,15 @@
   std::array<char, 2048> buffer_{};
   boost::asio::ip::udp::endpoint sender_;
   absl::btree_map<peer::PeerModule, MessageHandler> handlers_;
-  std::deque<EngineUpdate> engine_updates_;          // the last of each engine, by rising numbers
-  std::deque<PlacementUpdate> placement_updates_;    // the latest
-  std::deque<CapabilityUpdate> capability_updates_;  // the last of each engine, by rising numbers
+  std::deque<EngineUpdate> engine_updates_;          // the latest of each engine, by ascending number
+  std::deque<PlacementUpdate> placement_updates_;    // the latest ones
+  std::deque<CapabilityUpdate> capability_updates_;  // the latest of each engine, by ascending number
   absl::btree_map<std::string, FarZone> far_zones_;
   bool was_zone_reader_ = false;
   absl::Time order_lease_until_ = absl::InfinitePast();
   absl::Time last_order_announcement_ = absl::InfinitePast();
   uint64_t last_update_ = 0;
-  NodeId last_near_;  // the round goes on behind it
+  NodeId last_near_;  // where the round-robin continues
   NodeId last_far_;
   size_t near_peers_ = 0;
   size_t far_peers_ = 0;
--- a/src/gateway/peer_exchange_receive.cc
+++ b/src/gateway/peer_exchange_receive.cc
@@ -1,4 +1,4 @@
-// What other gateways tell: taken from datagrams into what is known here of peers, loads and engines.
+// Receives datagrams of other gateways and applies them to the local state of peers, loads and engines.
 #include <algorithm>
 #include <boost/asio/buffer.hpp>
 #include <utility>
@@ -21,7 +21,7 @@
   return {load.part, load.parts};
 }
 
-// Puts a part in the place of its last one; parts of an account that was cut otherwise are void.
+// Replaces the previous version of a part, and drops parts of an account with another number of parts.
 void replacePart(std::vector<LoadPart>& parts, const LoadPart& part) {
   std::erase_if(parts,
                 [&part](const LoadPart& kept) { return kept.parts != part.parts || kept.part == part.part; });
@@ -47,12 +47,12 @@
   const auto envelope = directory_.authenticator()->open(peer::Channel::kDatagram, bytes);
   if (envelope.has_error()) {
     core_.metrics.countRefusedDatagram();
-    return;  // forged or of another site: whoever sends such may not fill the log
+    return;  // forged or from another site: its sender must not be able to fill the log
   }
   const NodeId& from = envelope.value().sender;
   const auto handler = handlers_.find(envelope.value().module);
   const Result<void> taken = handler == handlers_.end()
-                                 ? fail(ErrorCode::kInvalidArgument, "nothing here takes such messages")
+                                 ? fail(ErrorCode::kInvalidArgument, "no handler for messages of this module")
                                  : handler->second(from, envelope.value().payload);
   if (taken.has_error()) {
     core_.metrics.countRefusedDatagram();
@@ -84,7 +84,7 @@
   if (digest.has_updates && is_own_zone_reader) {
     core_.dead_cache_stores = {digest.dead_stores.begin(), digest.dead_stores.end()};
   }
-  // Another reader of the own zone passes on by itself what it hears.
+  // Another reader of the own zone forwards its updates itself.
   const bool is_forwarded = was_zone_reader_ && far_peers_ > 0 && !(isNear(peer) && peer.is_zone_reader);
   const Origin origin = isNear(peer) ? Origin::kZone : Origin::kFar;
   for (const PlacementDigest& placement : digest.placements) {
--- a/src/gateway/quarantine_record.cc
+++ b/src/gateway/quarantine_record.cc
@@ -5,9 +5,9 @@
 namespace quincewick::gateway {
 namespace {
 
-// Rows of the table: what callers send must not fill the store.
+// Limits the table, so that callers' requests can't fill the store.
 constexpr uint32_t kMaxRows = 256;
-// The key says all. A constant of this type, for g++ 12 warns of an overlap in assigned literals.
+// The key holds all information. A std::string, because g++ 12 warns of an overlap in assigned literals.
 const std::string kValue = "blamed";
 constexpr absl::Duration kRetryDelay = absl::Seconds(2);
 
@@ -46,7 +46,7 @@
                     known_.insert(*identity);
                     found(*identity);
                   } else {
-                    refused_rows_.note(row.key, "no request's hash");
+                    refused_rows_.note(row.key, "the key is not a request's hash");
                   }
                 }
               });
--- a/src/gateway/quarantine_record.h
+++ b/src/gateway/quarantine_record.h
@@ -1,6 +1,6 @@
-// Requests that are to blame for ends of servers, kept in a table of the store: a site whose gateways all
-// lost power knows them again. Written by the gateway whose evidence was decisive, read by who begins to read
-// the store for its zone.
+// Quarantined requests, which crash servers, in a table of the store, so that a site whose gateways all lost
+// power still knows them. A row is written by the gateway whose evidence was decisive. The table is read by
+// gateways that become zone readers.
 #pragma once
 
 #include <functional>
@@ -19,9 +19,9 @@
 
   static constexpr const char* kTable = "gateway-crashes";
 
-  // Writes the request down, again and again until the store answers.
+  // Writes the request's row, and retries until the store has it.
   void write(const forwarding::RequestIdentity& identity);
-  // Calls `found` for each request of the table, once the store has answered.
+  // Reads the table, with retries, and calls `found` for each request in it.
   using Found = std::function<void(const forwarding::RequestIdentity& identity)>;
   void read(Found found);
 
@@ -31,7 +31,7 @@
   Core& core_;
   StoreClient store_;
   RefusedRows refused_rows_;
-  std::set<forwarding::RequestIdentity> known_;  // rows that are there or on their way
+  std::set<forwarding::RequestIdentity> known_;  // rows that exist or are being written
 };
 
 }  // namespace quincewick::gateway
--- a/src/gateway/refused_rows.cc
+++ b/src/gateway/refused_rows.cc
@@ -5,7 +5,7 @@
 namespace quincewick::gateway {
 namespace {
 
-// More are forgotten, and told once more: a writer of endless keys may not fill this process.
+// Beyond this limit all are forgotten and logged again, so that endless new keys can't exhaust memory.
 constexpr size_t kMaxRows = 1'024;
 
 }  // namespace
--- a/src/gateway/refused_rows.h
+++ b/src/gateway/refused_rows.h
@@ -1,4 +1,4 @@
-// Rows of a table that can't be used, each told once in the log: others write them again and again.
+// Logs unusable rows of a table, each only once, because their writers rewrite them periodically.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -14,15 +14,15 @@
  public:
   RefusedRows(Core& core, std::string_view table) : core_(core), table_(table) {}
 
-  // The row can't be used. Tells of it where it could be until now, or for another reason.
+  // Records that the row can't be used. Logs it if it was usable before or if the reason changed.
   void note(const std::string& key, const std::string& why);
-  // The row can be used, or is gone.
+  // Records that the row can be used, or is gone.
   void forget(const std::string& key) { refused_.erase(key); }
 
  private:
   Core& core_;
   std::string table_;
-  absl::flat_hash_map<std::string, std::string> refused_;  // why, by key
+  absl::flat_hash_map<std::string, std::string> refused_;  // reasons by key
 };
 
 }  // namespace quincewick::gateway
--- a/src/gateway/relay_follower.cc
+++ b/src/gateway/relay_follower.cc
@@ -7,8 +7,8 @@
 namespace quincewick::gateway {
 namespace {
 
-constexpr absl::Duration kResponseTimeout = absl::Milliseconds(700);  // beyond the wait
-// The same for all rows, which a whole zone may be waiting for.
+constexpr absl::Duration kResponseTimeout = absl::Milliseconds(700);  // in addition to the wait
+// The same for a snapshot, which a whole zone may be requesting at once.
 constexpr absl::Duration kSnapshotTimeout = absl::Seconds(4);
 constexpr int kOk = 200;
 
@@ -28,7 +28,7 @@
   if (caller_ == nullptr) {
     return;
   }
-  // It may be in the middle of its answer: it goes once the reactor is back.
+  // The caller may be running its callback: destroy it from the reactor's next turn.
   core_.timers.schedule(reactor::steadyNow(),
                         [caller = std::shared_ptr<reactor::HttpCaller>(std::move(caller_))] {});
 }
@@ -75,7 +75,7 @@
   update.rows = std::move(response.value().rows);
   update.is_whole = response.value().is_whole;
   update.version = response.value().version;
-  // The question came after it was asked, so the answer was made then or later.
+  // The reader received the request after it was sent, so the response was created then or later.
   const absl::Time created_at = sent_at + response.value().held_for;
   update.confirmed = created_at - response.value().confirmed_ago;
   update.as_of = created_at - response.value().as_of_ago;
--- a/src/gateway/relay_follower.h
+++ b/src/gateway/relay_follower.h
@@ -1,4 +1,4 @@
-// Follows one table through a peer that reads the store.
+// Follows one table through its zone's reader, by long polls.
 #pragma once
 
 #include <absl/time/time.h>
@@ -18,10 +18,10 @@
 class RelayFollower {
  public:
   using UpdateHandler = std::function<void(const forwarding::TableNews& update)>;
-  // The peer gave no answer, or one that is no use.
+  // Called when the peer sent no response or an invalid one.
   using FailureHandler = std::function<void(const NodeId& peer)>;
 
-  // `wait`: how long the peer holds a question that it has no news for.
+  // `wait`: how long the peer holds a request while it has no update.
   RelayFollower(Core& core, PeerDirectory& peers, std::string table, absl::Duration wait,
                 UpdateHandler update, FailureHandler on_failure)
       : core_(core),
@@ -31,7 +31,7 @@
         on_update_(std::move(update)),
         on_failure_(std::move(on_failure)) {}
 
-  // Follows that peer from now on; `after`: the version that is known.
+  // Starts following the peer. `after`: the version that this gateway has already.
   void follow(const NodeId& peer, const Address& address, uint64_t after);
   void stop();
 
@@ -47,10 +47,10 @@
   UpdateHandler on_update_;
   FailureHandler on_failure_;
   NodeId peer_;
-  std::unique_ptr<reactor::HttpCaller> caller_;  // null: nobody is followed
+  std::unique_ptr<reactor::HttpCaller> caller_;  // null while no peer is followed
   uint64_t after_ = 0;
   uint64_t readings_ = 0;
-  uint64_t generation_ = 0;  // rises with each peer that is followed
+  uint64_t generation_ = 0;  // incremented with each start and stop, to discard late responses
 };
 
 }  // namespace quincewick::gateway
--- a/src/gateway/relay_messages.cc
+++ b/src/gateway/relay_messages.cc
@@ -28,7 +28,7 @@
 constexpr uint32_t kMaxTableName = 256;
 constexpr uint32_t kMaxRows = 100'000;
 constexpr uint32_t kMaxPackedBytes = 4U << 20;
-// An archive begins with its byte order, 0 or 1.
+// Distinct from the first byte of a plain archive, which is its byte order, 0 or 1.
 constexpr char kPackedMark = 'P';
 
 }  // namespace
@@ -52,7 +52,7 @@
   archiveText(archive, response.packed, kMaxPackedBytes);
 }
 
-// Rows alone, as an archive of their own.
+// Rows as a separate archive.
 struct RowList {
   std::vector<forwarding::StoreRow> rows;
 
--- a/src/gateway/relay_messages.h
+++ b/src/gateway/relay_messages.h
@@ -1,5 +1,5 @@
-// What a gateway asks a peer that reads the store for it, and the peer's answer. Bodies of HTTP calls,
-// encoded by cereal and sealed.
+// Requests of followers to their zone's reader, and its responses: bodies of HTTP calls, encoded by cereal
+// and sealed.
 #pragma once
 
 #include <absl/time/time.h>
@@ -14,12 +14,12 @@
 
 namespace quincewick::gateway {
 
-// "What changed in the table since?" The answer is held until there is something to tell, or the wait is
-// over.
+// A long poll for the changes of a table. The response is held until there is an update, or `wait` has
+// passed.
 struct RelayRequest {
   std::string table;
-  uint64_t after = 0;     // version that the asker has; 0: all rows, please
-  uint64_t readings = 0;  // of the peer that the asker knows of: a newer one is worth an answer
+  uint64_t after = 0;     // version that the requester has; 0: request a snapshot
+  uint64_t readings = 0;  // the reader's last reading known to the requester; a newer one is an update
   absl::Duration wait;
 
   friend bool operator==(const RelayRequest&, const RelayRequest&) = default;
@@ -30,16 +30,16 @@
   bool is_whole = false;
   uint64_t version = 0;
   uint64_t readings = 0;
-  // Since the last whole reading that confirms this began, when the answer was made.
+  // Time from the start of the last complete read that confirms the rows until the response was created.
   absl::Duration confirmed_ago;
-  // Since the rows were as they are told here, at least, when the answer was made.
+  // Staleness of the rows when the response was created, at most.
   absl::Duration as_of_ago;
-  // From the question's coming until the answer was made.
+  // Time from the receipt of the request until the response was created.
   absl::Duration held_for;
 };
 
-// The same answer with its rows packed (packed_rows.h), for those who ask at kPackedPath. Gateways of an
-// earlier build don't: they ask at kPlainPath, and answer a question at either path with a plain answer.
+// A response with packed rows (packed_rows.h), for requests to kPackedPath. Gateways of an earlier build use
+// kPlainPath, and send plain responses to requests at either path.
 struct PackedRelayResponse {
   RelayResponse response;  // without rows
   std::string packed;
@@ -50,7 +50,7 @@
 std::string encodeRows(const std::vector<forwarding::StoreRow>& rows);
 Result<std::vector<forwarding::StoreRow>> decodeRows(std::string_view bytes);
 std::string encodePackedResponse(const PackedRelayResponse& response);
-// Takes a packed answer or a plain one. Errors: kInvalidArgument.
+// Decodes a packed or plain response from untrusted bytes. Errors: kInvalidArgument.
 Result<RelayResponse> decodeAnyRelayResponse(std::string_view bytes);
 
 std::string encodeRelayRequest(const RelayRequest& request);
--- a/src/gateway/rollout_controller.cc
+++ b/src/gateway/rollout_controller.cc
@@ -20,16 +20,17 @@
 
 constexpr const char* kLeaseRow = "rollouts";
 constexpr absl::Duration kTickInterval = absl::Milliseconds(100);
-// Between the turns of those who may take the lease.
+// Delays between the turns of the zone readers to acquire the lease.
 constexpr forwarding::TurnSchedule kLeaseTurns = {absl::Milliseconds(400), 5, absl::Seconds(1)};
-// Each peer hears a notice every so many ticks: three may be lost before it counts as silence.
+// Each peer is sent a notice every so many ticks, so that three may be lost before the decider counts as
+// silent.
 constexpr uint64_t kTicksPerRound = 4;
-// A verdict against a version goes out more than once, for datagrams get lost.
+// A verdict against a version is sent several times, because datagrams get lost.
 constexpr int kStopNotices = 3;
-// A gateway whose account is older than that is silent.
+// A gateway whose last account is older counts as silent.
 constexpr absl::Duration kAccountLifetime = absl::Milliseconds(1600);
 
-// What of the account is new since it was told last; the account is kept.
+// Returns the counts added to the account since `last`, and stores the account in `last`.
 AnswerAccount countsSinceLast(AnswerAccount& last, const AnswerAccount& account) {
   AnswerAccount news;
   for (const Side side : {Side::kBase, Side::kTarget}) {
@@ -75,7 +76,7 @@
   core_.timers.schedule(now + kTickInterval, [this] { tick(); });
 }
 
-// Among the readers of the store, in the order of their ids.
+// Zone readers take turns in the order of their ids.
 absl::Duration RolloutController::leaseTurnDelay(absl::Time now) const {
   int64_t before = 0;
   for (const auto& [id, peer] : directory_.peers()) {
@@ -205,7 +206,7 @@
   }
 }
 
-// The record, and what the operator is told, at once or not at all.
+// Writes the record and the operator's status row in one transaction.
 void RolloutController::write(RolloutRecord record, uint64_t expected_row) {
   record.fence = lease_.fence();
   evaluations_[record.service].is_write_pending = true;
@@ -230,7 +231,7 @@
   });
 }
 
-// It may have been written all the same, or another one was: the row tells.
+// After a failed write: the record may have been written after all, or another one may have, so read the row.
 void RolloutController::rereadRecord(const ServiceName& service) {
   store_.read(RolloutExchange::kTable, service.value(), 1,
               [this, service](StoreStatus status, const forwarding::StoreRows& response) {
@@ -245,8 +246,8 @@
               });
 }
 
-// A write is answered with the store's version, which another write may have raised: the row's own one
-// stands.
+// The response to a write gives the store's version, which another write may have raised since. The row's own
+// version is authoritative.
 void RolloutController::handleReread(const KnownRecord& known) {
   const auto state = rollouts_.services().find(known.record.service);
   if (state != rollouts_.services().end() && state->second.gate.known() &&
@@ -256,22 +257,22 @@
   handleWriteResult(known);
 }
 
-// Told to all at once: gateways need not wait for the reading of their zone.
+// Notifies all gateways at once, so that they need not wait for their zone's reader.
 void RolloutController::handleWriteResult(const KnownRecord& known) {
   const RolloutNotice notice{known, false};
-  rollouts_.takeNotice(core_.settings.gateway_id, notice);
+  rollouts_.handleNotice(core_.settings.gateway_id, notice);
   if (known.record.request_row != 0) {
     notifyAll(notice);
   }
 }
 
 void RolloutController::notifyAll(const RolloutNotice& notice) {
-  rollouts_.takeNotice(core_.settings.gateway_id, notice);
+  rollouts_.handleNotice(core_.settings.gateway_id, notice);
   peers_.sendToAll(peer::PeerModule::kStagedRollouts, encodeRolloutMessage({notice, std::nullopt}));
 }
 
 void RolloutController::notifyInTurn(const RolloutNotice& notice) {
-  rollouts_.takeNotice(core_.settings.gateway_id, notice);
+  rollouts_.handleNotice(core_.settings.gateway_id, notice);
   const std::string bytes = encodeRolloutMessage({notice, std::nullopt});
   uint64_t place = 0;
   for (const auto& [id, peer] : directory_.peers()) {
--- a/src/gateway/rollout_controller.h
+++ b/src/gateway/rollout_controller.h
@@ -1,5 +1,5 @@
-// Decides on the site's rollouts while this gateway holds the lease for that: gathers all gateways' accounts,
-// writes records, and tells all that they hold (docs/design/staged_rollout.md).
+// Runs the site's rollouts while this gateway holds the rollout lease: collects the accounts of all gateways,
+// writes rollout records, and notifies all gateways of the current ones (docs/design/staged_rollout.md).
 #pragma once
 
 #include <absl/container/btree_map.h>
@@ -23,20 +23,20 @@
  public:
   RolloutController(Core& core, PeerDirectory& directory, PeerExchange& peers, RolloutExchange& rollouts);
 
-  // `reads_store`: whether this gateway reads the store for its zone now; only such ones decide.
+  // `reads_store`: whether this gateway is its zone's reader now. Only zone readers acquire the lease.
   void start(std::function<bool()> reads_store);
 
  private:
-  // What a gateway told last of one rollout.
+  // The latest account of one rollout from one gateway.
   struct AccountReport {
     uint64_t incarnation = 0;
     uint64_t confirmed_row = 0;
     absl::Time last_received = absl::InfinitePast();
     staged_rollout::AnswerAccount counts;
   };
-  // What this gateway knows as the decider of one service's rollout; all of it comes again from accounts.
+  // The decider's state for one service's rollout. All of it can be rebuilt from later accounts.
   struct Evaluation {
-    staged_rollout::RolloutRecord record;  // as it was judged last
+    staged_rollout::RolloutRecord record;  // as of the last evaluation
     staged_rollout::VersionVerdict verdict;
     absl::btree_map<NodeId, AccountReport> reports;
     bool is_write_pending = false;
--- a/src/gateway/rollout_exchange.cc
+++ b/src/gateway/rollout_exchange.cc
@@ -103,9 +103,9 @@
   state.operators_row = std::move(taken);
 }
 
-void RolloutExchange::takeRecords(const forwarding::TableNews& news) {
+void RolloutExchange::handleRecords(const forwarding::TableNews& news) {
   for (const forwarding::StoreRow& row : news.rows) {
-    takeRecord(row, news.as_of);
+    applyRecord(row, news.as_of);
   }
   for (auto& [service, state] : services_) {
     state.gate.confirmRecord(news.as_of);
@@ -113,15 +113,16 @@
   has_records_ = has_records_ || news.is_whole;
 }
 
-void RolloutExchange::takeRecord(const forwarding::StoreRow& row, absl::Time as_of) {
+void RolloutExchange::applyRecord(const forwarding::StoreRow& row, absl::Time as_of) {
   if (row.is_gone) {
-    refused_records_.note(row.key, "a record went that nobody removes: what it said holds on");
+    refused_records_.note(row.key, "the record was removed; its last state stays in force");
     return;
   }
   const auto record = staged_rollout::decodeRecord(row.value);
   const bool is_sound = record.has_value() && record.value().service.value() == row.key;
   if (!is_sound) {
-    refused_records_.note(row.key, record.has_error() ? record.error().message : "it is of another service");
+    refused_records_.note(
+        row.key, record.has_error() ? record.error().message : "the record belongs to another service");
     return;
   }
   refused_records_.forget(row.key);
@@ -131,7 +132,7 @@
   noteChange(before ? &*before : nullptr, state, "row");
 }
 
-void RolloutExchange::takeNotice(const NodeId& from, const staged_rollout::RolloutNotice& notice) {
+void RolloutExchange::handleNotice(const NodeId& from, const staged_rollout::RolloutNotice& notice) {
   ServiceState& state = stateOf(notice.known.record.service);
   const std::optional<KnownRecord> before = state.gate.known();
   state.gate.takeNotice(notice, reactor::steadyNow());
@@ -200,7 +201,7 @@
 Result<void> RolloutExchange::handleMessage(const NodeId& from, std::string_view payload) {
   BOOST_OUTCOME_TRY(message, decodeRolloutMessage(payload));
   if (message.notice) {
-    takeNotice(from, *message.notice);
+    handleNotice(from, *message.notice);
   } else {
     account_handler_(from, *message.account);
   }
@@ -236,8 +237,8 @@
   return state.gate.versionOf(*side);
 }
 
-// While a target is watched, its requests go to few of its servers, so that these are loaded as the base's
-// are: a version that is bad only under load is seen so.
+// While the target version is watched, its requests go to only a few of its servers, so that these carry the
+// same load as the baseline's. This exposes a version that fails only under load.
 std::vector<ServerDirectory::ServerPointer> RolloutExchange::serversOf(const ServiceName& service,
                                                                        const SoftwareVersion& version) const {
   std::vector<ServerDirectory::ServerPointer> servers;
@@ -254,12 +255,12 @@
       servers.push_back(server);
     }
   }
-  const auto most = static_cast<size_t>(
+  const auto max_servers = static_cast<size_t>(
       std::max(1.0, std::ceil(core_.settings.rollout_share * static_cast<double>(others))));
-  if (is_watched && servers.size() > most) {
+  if (is_watched && servers.size() > max_servers) {
     std::sort(servers.begin(), servers.end(),
               [](const auto& one, const auto& other) { return one->home_hash < other->home_hash; });
-    servers.resize(most);
+    servers.resize(max_servers);
   }
   return servers;
 }
@@ -279,7 +280,7 @@
 }
 
 void RolloutExchange::noteOver(const forwarding::Server& server, std::string_view route, bool was_crowded,
-                               AttemptOutcome end, absl::Duration took) {
+                               AttemptOutcome outcome, absl::Duration took) {
   ServiceState& state = stateOf(server.entry.service);
   uint32_t& attempts_in_progress = state.attempts_in_progress[server.entry.software];
   attempts_in_progress -= std::min(attempts_in_progress, 1U);
@@ -288,12 +289,12 @@
   }
   const staged_rollout::RolloutRecord& record = state.gate.known()->record;
   const bool is_target = server.entry.software == record.target;
-  if ((!is_target && server.entry.software != record.base) || end == AttemptOutcome::kUncounted) {
+  if ((!is_target && server.entry.software != record.base) || outcome == AttemptOutcome::kUncounted) {
     return;
   }
   const Side side = is_target ? Side::kTarget : Side::kBase;
   const staged_rollout::Stratum stratum{hashOf(route), was_crowded};
-  if (end == AttemptOutcome::kAnswered) {
+  if (outcome == AttemptOutcome::kAnswered) {
     state.account.noteAnswer(side, stratum, took);
   } else {
     state.account.noteFailure(side, stratum);
--- a/src/gateway/rollout_exchange.h
+++ b/src/gateway/rollout_exchange.h
@@ -1,5 +1,5 @@
-// The rollouts of the site's services as one gateway carries them out: which versions its requests may go to,
-// what it saw of their answers, and what it is told and tells of it (docs/design/staged_rollout.md).
+// One gateway's part in the rollouts of the site's services: which versions its requests may use, its counts
+// of their responses, and the messages exchanged with the decider (docs/design/staged_rollout.md).
 #pragma once
 
 #include <absl/container/btree_map.h>
@@ -30,55 +30,57 @@
 
   void start();
 
-  // The operator's row of a rollout, as it was read.
+  // Handles the operator's rollout request row as read from the store.
   void handleOperatorRow(const forwarding::StoreRow& row);
-  // What was read of the table of records.
-  void takeRecords(const forwarding::TableNews& news);
-  // Whether the table was read whole: before, no request is sent.
+  // Handles an update of the table of rollout records.
+  void handleRecords(const forwarding::TableNews& news);
+  // Whether a snapshot of the table was read. No request is sent before that.
   bool hasRecords() const { return has_records_; }
   bool isAnyRunning() const;
 
-  // What a request is asked by.
+  // The properties of a request that determine its version.
   struct VersionRequest {
     forwarding::ServiceName service;
     std::string_view route;
-    double place = 0;        // 0 to 1; the same for all requests of one prompt
-    bool is_repeat = false;  // it goes to the base, which is better known
+    double place = 0;        // in [0, 1]; the same for all requests with one prompt
+    bool is_repeat = false;  // sent to the baseline version, which is better known
   };
-  // The version that a request goes to; its share is taken from now on. Nothing: none may be used.
+  // Returns the version to send the request to, and counts it towards that version's share. Empty if no
+  // version may be used.
   std::optional<SoftwareVersion> choose(const VersionRequest& request);
-  // The service's servers of that version.
+  // The service's servers that run the version.
   std::vector<forwarding::ServerDirectory::ServerPointer> serversOf(const forwarding::ServiceName& service,
                                                                     const SoftwareVersion& version) const;
-  // Whether a request that was meant for the server may still go there.
+  // Whether a request that was assigned to the server may still be sent there.
   bool mayUse(const forwarding::Server& server) const;
 
-  // An attempt begins at the server, and is over: answered after so long, or failed, or neither (nothing).
+  // Record the start and the end of an attempt at the server. `took`: the time until the response.
+  // kUncounted: neither a response nor a failure of the server.
   enum class AttemptOutcome : uint8_t { kAnswered, kFailed, kUncounted };
   void noteSent(const forwarding::Server& server);
   void noteOver(const forwarding::Server& server, std::string_view route, bool was_crowded,
-                AttemptOutcome end, absl::Duration took);
+                AttemptOutcome outcome, absl::Duration took);
 
-  // For the decider.
+  // One service's rollout state, also used by RolloutController.
   struct ServiceState {
     explicit ServiceState(staged_rollout::GateSettings settings) : gate(settings) {}
 
     staged_rollout::TrafficGate gate;
     std::optional<staged_rollout::OperatorsRow> operators_row;
     staged_rollout::AnswerAccount account;
-    uint64_t account_request_row = 0;  // the operator's row that it is about
-    // Attempts under way, by version.
+    uint64_t account_request_row = 0;  // the operator's row that `account` is for
+    // Attempts in progress by version.
     absl::flat_hash_map<SoftwareVersion, uint32_t> attempts_in_progress;
-    NodeId decider;  // who sent the last notice; empty: nobody yet
+    NodeId decider;  // the sender of the last notice; empty before the first
     absl::Time account_sent_at = absl::InfinitePast();
     uint64_t confirmed_row = 0;
   };
   absl::btree_map<forwarding::ServiceName, ServiceState>& services() { return services_; }
   RolloutAccount accountOf(const forwarding::ServiceName& service);
-  void takeNotice(const NodeId& from, const staged_rollout::RolloutNotice& notice);
+  void handleNotice(const NodeId& from, const staged_rollout::RolloutNotice& notice);
   using AccountHandler = std::function<void(const NodeId& from, const RolloutAccount& account)>;
   void setAccountHandler(AccountHandler handler) { account_handler_ = std::move(handler); }
-  // Servers of each version that are listed.
+  // Number of listed servers by version.
   absl::flat_hash_map<SoftwareVersion, size_t> listedVersions(const forwarding::ServiceName& service) const;
 
  private:
@@ -86,7 +88,7 @@
   Result<void> handleMessage(const NodeId& from, std::string_view payload);
   void addServices();
   ServiceState& stateOf(const forwarding::ServiceName& service);
-  void takeRecord(const forwarding::StoreRow& row, absl::Time as_of);
+  void applyRecord(const forwarding::StoreRow& row, absl::Time as_of);
   void noteChange(const staged_rollout::KnownRecord* before, ServiceState& state, std::string_view by);
   void noteConfirmed(ServiceState& state);
   void sendAccount(const forwarding::ServiceName& service, ServiceState& state, absl::Time now);
--- a/src/gateway/rollout_messages.cc
+++ b/src/gateway/rollout_messages.cc
@@ -16,13 +16,13 @@
 constexpr uint8_t kFormatVersion = 1;
 constexpr uint32_t kMaxNameBytes = 200;
 constexpr uint32_t kMaxRecordBytes = 1024;
-constexpr uint32_t kMaxStrata = 64;  // of one datagram
-// A stratum takes up to 17 bytes, and 5 for each class of times that has answers.
+constexpr uint32_t kMaxStrata = 64;  // per datagram
+// A stratum takes up to 17 bytes, and 5 for each response time class that isn't empty.
 constexpr size_t kStratumBytes = 18;
 constexpr size_t kTimeClassBytes = 5;
 constexpr size_t kDatagramBudgetBytes = 700;
 
-// Counts of a class of times, the classes without any left out.
+// The count of one response time class; empty classes are omitted.
 struct TimeCount {
   uint8_t time_class = 0;
   uint32_t answers = 0;
@@ -31,7 +31,7 @@
   void serialize(Archive& archive) {
     archive(time_class, answers);
     if (time_class >= kTimeClasses) {
-      throw cereal::Exception("a class of times that can't be");
+      throw cereal::Exception("response time class out of range");
     }
   }
 };
@@ -116,7 +116,7 @@
   uint8_t format_version = kFormatVersion;
   archive(format_version);
   if (format_version != kFormatVersion) {
-    throw cereal::Exception("a form that is not known");
+    throw cereal::Exception("unknown format version");
   }
   bool is_notice = message.notice.has_value();
   archive(is_notice);
--- a/src/gateway/rollout_messages.h
+++ b/src/gateway/rollout_messages.h
@@ -1,4 +1,4 @@
-// What gateways tell each other of a service's rollout. One datagram each, encoded by cereal.
+// Messages between gateways about a service's rollout: one datagram each, encoded by cereal.
 #pragma once
 
 #include <cstdint>
@@ -13,26 +13,26 @@
 
 namespace quincewick::gateway {
 
-// A gateway's counts of some strata, told to the decider.
+// A gateway's counts of some strata, sent to the decider.
 struct RolloutAccount {
   staged_rollout::ServiceName service;
-  uint64_t request_row = 0;    // of the rollout that it is about
-  uint64_t incarnation = 0;    // differs with each start of the gateway: counts begin anew
-  uint64_t confirmed_row = 0;  // nothing of the gateway's runs at the base, nor will, by that record
+  uint64_t request_row = 0;    // row of the operator's request for the rollout
+  uint64_t incarnation = 0;    // changes with each start of the gateway, which resets the counts
+  uint64_t confirmed_row = 0;  // by this record, the gateway has no requests at the baseline and starts none
   staged_rollout::AnswerAccount counts;
 };
 
-// One of the two.
+// Exactly one of the two is set.
 struct RolloutMessage {
   std::optional<staged_rollout::RolloutNotice> notice;  // from the decider
   std::optional<RolloutAccount> account;
 };
 
-// Cuts an account into as many as are needed for each to fit into a datagram.
+// Splits an account into parts that each fit into a datagram.
 std::vector<RolloutAccount> splitIntoDatagrams(const RolloutAccount& account);
 
 std::string encodeRolloutMessage(const RolloutMessage& message);
-// Decodes untrusted bytes. Errors: kInvalidArgument, also for a later form than the one that is known.
+// Decodes untrusted bytes. Errors: kInvalidArgument, also for an unknown format version.
 Result<RolloutMessage> decodeRolloutMessage(std::string_view bytes);
 
 }  // namespace quincewick::gateway
--- a/src/gateway/row_relay.cc
+++ b/src/gateway/row_relay.cc
@@ -8,12 +8,12 @@
 namespace quincewick::gateway {
 namespace {
 
-// One for each table of each follower: a zone of 300 gateways.
+// One per table and follower, for a zone of 300 gateways.
 constexpr size_t kMaxConnections = 1024;
 constexpr absl::Duration kMaxWait = absl::Seconds(2);
-// From so many rows on, a table as a whole is large.
+// A table with at least so many rows counts as large.
 constexpr size_t kLargeTableRows = 500;
-// Of one table: followers differ by an response or two in what they know.
+// Per table. Followers are at most a response or two apart.
 constexpr size_t kMaxPackedPerTable = 8;
 constexpr int kOk = 200;
 constexpr int kUnauthorized = 401;
@@ -87,7 +87,7 @@
   });
 }
 
-// Who waits longest goes first. Followers that went ask no more: answers to them are over by their time.
+// In order of arrival. Followers that crashed send no further request; the limiter expires their snapshots.
 void RowRelay::sendWaitingSnapshots() {
   const absl::Time now = reactor::steadyNow();
   while (!waiting_for_snapshot_.empty() && snapshot_limiter_.maySend(now)) {
@@ -141,7 +141,7 @@
   return encodePackedResponse({responseWithoutRows(pending, now), packedRowsFor(pending.request)});
 }
 
-// All followers that know as much are told the same: it is looked up and packed once.
+// All followers at the same version get the same rows, so these are looked up and packed once.
 const std::string& RowRelay::packedRowsFor(const RelayRequest& request) {
   const forwarding::RowCache& cache = *caches_.at(request.table);
   std::deque<Packed>& cached = packed_[request.table];
--- a/src/gateway/row_relay.h
+++ b/src/gateway/row_relay.h
@@ -1,5 +1,5 @@
-// Answers peers' questions after the rows that this gateway reads from the store, so that a zone needs one
-// reader. A question is held until there is something to tell.
+// Serves the rows that this gateway reads from the store to its zone's followers, so that a zone needs one
+// reader. Requests are long polls: each is held until there is an update or its wait ends.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -23,17 +23,17 @@
  public:
   RowRelay(Core& core, PeerDirectory& peers) : core_(core), peers_(peers) {}
 
-  // Listens at the address for peers; false: it can't be bound.
+  // Listens on the peer address. Returns false if it can't be bound.
   bool listen(const Address& address);
-  // The port that it listens at.
+  // The port that it listens on.
   uint16_t port() const { return server_->port(); }
-  // Answers about the table from this cache, which outlives the relay.
+  // Serves the table from this cache, which must outlive the relay.
   void offer(const std::string& table, const forwarding::RowCache* cache);
-  // The table's cache took something in: whoever waits for that is answered.
+  // Called after an update of the table's cache: responds to the requests waiting for it.
   void notifyFollowers(const std::string& table);
-  // Whether this gateway reads, and so answers.
-  void setServing(bool answers) { is_serving_ = answers; }
-  // This gateway reads no more: whoever waits is sent away.
+  // Whether this gateway is a reader and so serves requests.
+  void setServing(bool is_serving) { is_serving_ = is_serving; }
+  // Called when this gateway stops reading: refuses all waiting requests.
   void refuseAll();
 
  private:
@@ -41,7 +41,7 @@
     RelayRequest request;
     bool wants_packed = false;
     NodeId requester;
-    Sequence sequence;  // of the sealed question
+    Sequence sequence;  // of the sealed request
     absl::Time received_at;
     reactor::PlainServer::Respond respond;
     reactor::TimerQueue::Key wait;
@@ -51,7 +51,7 @@
                      const reactor::PlainServer::Respond& respond);
   void enqueue(PendingRequest pending);
   void sendWaitingSnapshots();
-  // Whether the response is a large table as a whole, of which only so many go out at once.
+  // Whether the response is a snapshot of a large table, of which only a limited number are sent at once.
   bool isLargeSnapshot(const PendingRequest& pending) const;
   RelayResponse responseWithoutRows(const PendingRequest& pending, absl::Time now) const;
   std::string plainResponse(const PendingRequest& pending, absl::Time now) const;
@@ -68,7 +68,7 @@
   std::list<PendingRequest> pending_;
   std::list<PendingRequest> waiting_for_snapshot_;
   SnapshotLimiter snapshot_limiter_;
-  // Rows packed for those who know all up to `after`, of the table as it is now.
+  // The packed rows for followers that have all changes up to `after`, at the table's current version.
   struct Packed {
     uint64_t after = 0;
     uint64_t version = 0;
--- a/src/gateway/server_list.cc
+++ b/src/gateway/server_list.cc
@@ -12,7 +12,7 @@
 
 ServerList::ServerList(Core& core) : core_(core), refused_(core, core.dialect->tables().servers) {}
 
-void ServerList::take(const forwarding::TableNews& update, absl::Time now) {
+void ServerList::applyUpdate(const forwarding::TableNews& update, absl::Time now) {
   const absl::Duration list_was_old = now - core_.servers_as_of;
   if (update.as_of > core_.servers_as_of) {
     core_.servers_as_of = update.as_of;
@@ -25,7 +25,7 @@
       noteMissing(row.key, now);
     } else {
       ids.push_back(row.key);
-      takeRow(row, list_was_old, now);
+      applyRow(row, list_was_old, now);
     }
   }
   if (update.is_whole) {
@@ -37,7 +37,7 @@
   removeGone(now);
 }
 
-void ServerList::takeRow(const StoreRow& row, absl::Duration list_was_old, absl::Time now) {
+void ServerList::applyRow(const StoreRow& row, absl::Duration list_was_old, absl::Time now) {
   lapsed_.noteThere(row.key);
   auto read = core_.dialect->readServer(row.key, row.value);
   if (read.has_error()) {
@@ -47,7 +47,7 @@
   forwarding::ServerEntry entry = std::move(read.value());
   const bool is_plausible = core_.isPlausibleStart(entry.started);
   if (!is_plausible) {
-    refused_.note(row.key, "its start is in the future: it counts as not told");
+    refused_.note(row.key, "its start time is in the future and is ignored");
     entry.started = absl::InfinitePast();
   }
   const auto known = core_.directory.find(row.key);
@@ -62,8 +62,9 @@
   logEffect(entry, effect, now);
 }
 
-// What can't be read may be its leaving: nothing new is sent there until it can be. What is believed of its
-// cache holds on, for its life may be the same, and its next heartbeat mends an entry that another spoiled.
+// An unreadable entry may announce that the server leaves, so it gets no new requests until its entry can be
+// read. The assumed contents of its cache are kept: the incarnation may be the same, and the server's next
+// heartbeat repairs an entry that another writer corrupted.
 void ServerList::refuse(const StoreRow& row, const std::string& why) {
   core_.directory.setReadable(row.key, false);
   refused_.note(row.key, why);
@@ -74,7 +75,7 @@
     case EntryEffect::kKnown:
       return;
     case EntryEffect::kOutdated:
-      refused_.note(entry.id, "it is of an earlier start than the one that is known");
+      refused_.note(entry.id, "it belongs to an earlier incarnation than the known one");
       return;
     case EntryEffect::kNew:
     case EntryEffect::kRestarted:
--- a/src/gateway/server_list.h
+++ b/src/gateway/server_list.h
@@ -1,5 +1,5 @@
-// Takes the list of servers, as it is told from the store or by a peer, into the directory: who is new, who
-// started again, who leaves or went, and whose entry can't be read.
+// Applies updates of the list of servers to the server directory: new, restarted, draining and removed
+// servers, and entries that can't be parsed.
 #pragma once
 
 #include <absl/time/time.h>
@@ -17,14 +17,14 @@
  public:
   explicit ServerList(Core& core);
 
-  void take(const forwarding::TableNews& update, absl::Time now);
-  // Neither this gateway nor a peer that it hears reads the list.
+  void applyUpdate(const forwarding::TableNews& update, absl::Time now);
+  // Called while neither this gateway nor a live peer reads the list.
   void noteAway() { lapsed_.noteAway(); }
-  // Removes servers whose entries were awaited in vain.
+  // Removes servers whose entries did not return within the grace time.
   void removeGone(absl::Time now);
 
  private:
-  void takeRow(const forwarding::StoreRow& row, absl::Duration list_was_old, absl::Time now);
+  void applyRow(const forwarding::StoreRow& row, absl::Duration list_was_old, absl::Time now);
   void refuse(const forwarding::StoreRow& row, const std::string& why);
   void logEffect(const forwarding::ServerEntry& entry, forwarding::EntryEffect effect, absl::Time now);
   void noteMissing(const std::string& server_id, absl::Time now);
--- a/src/gateway/site_follower.cc
+++ b/src/gateway/site_follower.cc
@@ -11,26 +11,26 @@
 using forwarding::TableNews;
 
 constexpr absl::Duration kTickInterval = absl::Milliseconds(100);
-// While this gateway neither reads nor follows, it can't serve: it looks more often who reads.
+// A gateway that neither reads nor follows can't serve, so it looks for a reader more often.
 constexpr absl::Duration kTickIntervalWithoutRole = absl::Milliseconds(20);
-// At a start peers that have rows in the store count as there for so long before they are heard.
+// After a start, peers with rows in the store count as live for so long before they are heard from.
 constexpr absl::Duration kPeerDiscoveryTime = absl::Milliseconds(1200);
-// How long a reader holds a follower's question. Each reading is told at once, so this is how long nothing is
-// heard of a reader that gets no answers.
+// How long a reader holds a follower's long poll. Every read of the store is forwarded at once, so a reader
+// whose store calls fail is silent for this long.
 constexpr absl::Duration kRelayWait = absl::Milliseconds(1000);
 constexpr absl::Duration kRarelyChangedRelayWait = absl::Seconds(2);
-// Records of rollouts rarely change; while one runs, gateways must know how old their knowledge of it is.
+// Rollout records rarely change, but while a rollout runs, gateways must know how stale their record is.
 constexpr absl::Duration kRolloutsWait = absl::Seconds(20);
 constexpr absl::Duration kRunningRolloutsWait = absl::Seconds(1);
-// A reader of a build that has no rollouts passes on everything else.
+// Retry delay for a reader of an earlier build, which serves all tables but the rollouts.
 constexpr absl::Duration kRolloutsRetryDelay = absl::Seconds(1);
-// Between a reader's whole readings of the operator's rows, at most.
+// Upper limit of the interval between a reader's snapshots of the operator's rows.
 constexpr absl::Duration kMaxSnapshotInterval = absl::Seconds(1);
-// Readers number what they found late themselves, a little ahead of the store: who changes to another one
-// asks for so many versions more, for a change too many does no harm.
+// Readers assign versions slightly ahead of the store's to changes that they found late. A follower that
+// changes its reader therefore requests so many earlier versions again; a repeated change does no harm.
 constexpr uint64_t kVersionOverlap = 16;
 
-// Versions are named now and then, and each reader writes down those that it sees named.
+// Weights versions are published rarely, and each reader records those that it sees.
 TableFollowerSettings weightsSettings() {
   TableFollowerSettings settings;
   settings.table = WeightsRecord::kTable;
@@ -47,9 +47,9 @@
   return settings;
 }
 
-// An answer tells how the list was when it was asked for. With a quarter of the time for leaving servers
-// between questions, and a sixteenth of waiting where nothing changes, the list is no older than three
-// eighths of that time while the store answers; from a half on, followers look for another reader.
+// A response reflects the list as of its request. With a pause of a quarter of the server drain time between
+// requests and a long poll of a sixteenth of it, the list is at most three eighths of the drain time old
+// while the store responds. From a half on, followers look for another reader.
 TableFollowerSettings serverSettings(const Core& core) {
   TableFollowerSettings settings;
   settings.table = core.dialect->tables().servers;
@@ -59,7 +59,7 @@
   return settings;
 }
 
-// While the store answers, the age of a reader's rows stays well below the age at which it is left.
+// While the store responds, a reader's rows stay well below the staleness at which followers leave it.
 TableFollowerSettings operatorSettings(const Core& core) {
   TableFollowerSettings settings;
   settings.table = core.dialect->tables().configuration;
@@ -72,7 +72,7 @@
   return known.version == written.version;
 }
 
-// Servers write their rows again and again to show that they live.
+// Servers rewrite their rows periodically as heartbeats.
 bool isEquivalent(const forwarding::Dialect& dialect, const StoreRow& known, const StoreRow& written) {
   if (known.value == written.value) {
     return true;
@@ -148,13 +148,13 @@
 }
 
 bool SiteFollower::isZoneReader() const {
-  return role_.reads && storeAnswers() && !core_.is_stopping && operator_rows_.cache.isFilled() &&
+  return role_.reads && isStoreResponding() && !core_.is_stopping && operator_rows_.cache.isFilled() &&
          servers_.cache.isFilled() && weights_rows_.cache.isFilled() &&
          (core_.rollouts == nullptr || rollout_rows_.cache.isFilled()) &&
          reactor::steadyNow() - operator_rows_.cache.confirmed() < oldestConfiguration();
 }
 
-bool SiteFollower::storeAnswers() const {
+bool SiteFollower::isStoreResponding() const {
   const bool is_list_fresh = reactor::steadyNow() - servers_.cache.asOf() <= oldestList();
   return is_list_fresh && !operator_rows_.from_store.isDown() && !servers_.from_store.isDown();
 }
@@ -167,8 +167,8 @@
   return forwarding::ReaderElection::oldestConfiguration(core_.settings.bounds.configuration_in_force);
 }
 
-// Who the peers are, and so whether one of them reads the store, is asked of the store first: one call, where
-// reading all tables takes several.
+// Reading the peers first costs one store call and shows whether one of them is a reader already. Reading all
+// tables takes several calls.
 bool SiteFollower::knowsPeers() const {
   return !core_.settings.listen.peers || peers_.authenticator() != nullptr;
 }
@@ -178,16 +178,16 @@
   list_.removeGone(now);
   if (knowsPeers()) {
     peers_known_since_ = std::min(peers_known_since_, now);
-    checkAge(now);
-    applyRole(election_.decide(candidates(now), storeAnswers(), now));
+    checkReaderStaleness(now);
+    applyRole(election_.decide(candidates(now), isStoreResponding(), now));
     checkIsolation(now);
     confirmer_.tick([this, now] { return role_.reads || exchange_.hasLiveReader(now); }, now);
   }
   core_.timers.schedule(now + (seeksReader() ? kTickIntervalWithoutRole : kTickInterval), [this] { tick(); });
 }
 
-// A reader may answer and yet have no fresh rows: followers don't wait until it has noticed that itself.
-void SiteFollower::checkAge(absl::Time now) {
+// A reader may respond but have stale rows: followers don't wait until it notices that itself.
+void SiteFollower::checkReaderStaleness(absl::Time now) {
   const bool is_outdated = election_.followsOutdated(relayed_confirmed_, oldestConfiguration(), now) ||
                            election_.followsOutdated(core_.servers_as_of, oldestList(), now);
   if (is_outdated) {
@@ -202,7 +202,8 @@
       .with("list_is_old_ms", now - core_.servers_as_of);
 }
 
-// A reading that this gateway alone lacks is no outage: peers are heard then that have one.
+// A stale list is an outage only if no peer has a fresh one: marks the list as unavailable only when no live
+// reader is known and peers are reachable.
 void SiteFollower::checkIsolation(absl::Time now) {
   const bool is_list_old = now - core_.servers_as_of > oldestList();
   if (is_list_old && !election_.hearsReader() && !exchange_.areNearPeersSilent(now)) {
@@ -281,7 +282,7 @@
   applyUpdate(operator_rows_, update, false);
 }
 
-// A reader whose questions fail meanwhile reads again at once, for its followers.
+// A reader whose tables are down retries them at once, for its followers.
 void SiteFollower::handleConfirmation(const TableNews& update) {
   if (!role_.reads) {
     applyUpdate(operator_rows_, update, false);
@@ -300,21 +301,21 @@
   if (&table == &operator_rows_) {
     applyOperatorRows(effect, from_store);
   } else if (&table == &servers_) {
-    list_.take(effect, reactor::steadyNow());
+    list_.applyUpdate(effect, reactor::steadyNow());
   } else if (&table == &rollout_rows_) {
     applyRollouts(effect);
   } else {
-    weights_record_.take(
-        update);  // what came before the store's clock was known is taken when it comes again
+    weights_record_.applyUpdate(
+        update);  // rows from before the store's clock was known are applied with a later update
   }
 }
 
 void SiteFollower::applyRollouts(const TableNews& update) {
-  core_.rollouts->takeRecords(update);
+  core_.rollouts->handleRecords(update);
   rollout_rows_.from_store.setWait(core_.rollouts->isAnyRunning() ? kRunningRolloutsWait : kRolloutsWait);
 }
 
-// Only a whole reading of the store confirms: a change that is told late must not pass for a newer look.
+// Only a complete read of the store confirms the configuration: a delayed delta must not count as newer.
 void SiteFollower::applyOperatorRows(const TableNews& update, bool from_store) {
   const forwarding::StoreTables& tables = core_.dialect->tables();
   for (const StoreRow& row : update.rows) {
@@ -351,8 +352,8 @@
   }
 }
 
-// Whoever starts next asks this reader when the version was named: it must not wait for a question that the
-// store perhaps never answers.
+// A gateway that starts next asks this reader when the version was published. Rereading at once avoids
+// waiting for a long poll that the store may never answer.
 void SiteFollower::rereadWeightsRecord() {
   if (role_.reads) {
     weights_rows_.from_store.restart();
--- a/src/gateway/site_follower.h
+++ b/src/gateway/site_follower.h
@@ -1,5 +1,5 @@
-// Takes the operator's configuration, the named weights and the list of servers into the core: from the store
-// where this gateway reads it for its zone, else from the peer that does.
+// Keeps the operator's configuration, the published weights, the list of servers and the rollout records
+// current in the core: from the store if this gateway is its zone's reader, otherwise through that reader.
 #pragma once
 
 #include <memory>
@@ -26,13 +26,13 @@
   SiteFollower(Core& core, PeerDirectory& peers, PeerExchange& exchange, RowRelay& relay);
 
   void start();
-  // Whether this gateway reads the store, gets answers and so has fresh rows for its zone.
+  // Whether this gateway reads the store for its zone and its rows are fresh.
   bool isZoneReader() const;
-  // Whether it neither reads nor follows one who does.
+  // Whether this gateway neither reads the store nor follows a reader.
   bool seeksReader() const { return !role_.reads && !role_.follows; }
 
  private:
-  // One table, from wherever it is followed.
+  // One replicated table and its two sources.
   struct Table {
     std::string name;
     forwarding::RowCache cache;
@@ -42,7 +42,7 @@
 
   void tick();
   bool knowsPeers() const;
-  bool storeAnswers() const;
+  bool isStoreResponding() const;
   absl::Duration oldestList() const;
   absl::Duration oldestConfiguration() const;
   std::vector<Table*> tables();
@@ -51,7 +51,7 @@
   void handleReaderFailure(const NodeId& reader);
   void retryRolloutsLater(const NodeId& reader);
   void applyRollouts(const forwarding::TableNews& update);
-  void checkAge(absl::Time now);
+  void checkReaderStaleness(absl::Time now);
   void checkIsolation(absl::Time now);
 
   void handleStoreUpdate(Table& table, const forwarding::TableNews& update);
@@ -70,20 +70,21 @@
   forwarding::ReaderElection election_;
   forwarding::ReaderRole role_;
   absl::Time peers_known_since_ = absl::InfiniteFuture();
-  uint64_t configuration_row_ = 0;   // the store's version of the row in force
-  bool has_unreadable_row_ = false;  // a newer configuration can't be read: nothing confirms the old one
-  bool has_snapshot_ = false;        // what is named from now on is news
-  bool is_reader_outdated_ = false;  // the one that is followed, until there is a better one
-  // When the configuration was confirmed last as far as readers told, whatever this gateway found itself.
+  uint64_t configuration_row_ = 0;  // version of the row in force
+  bool has_unreadable_row_ =
+      false;                   // the newest configuration can't be parsed, so the old one isn't confirmed
+  bool has_snapshot_ = false;  // weights published from now on are new
+  bool is_reader_outdated_ = false;  // the followed reader's rows are outdated, until it is replaced
+  // When readers last confirmed the configuration, regardless of this gateway's own confirmations.
   absl::Time relayed_confirmed_ = absl::InfinitePast();
   ServerList list_;
-  RefusedRows refused_rows_;  // of the operator
+  RefusedRows refused_rows_;  // the operator's rows
   WeightsRecord weights_record_;
   ConfigurationConfirmer confirmer_;
   Table operator_rows_;
   Table servers_;
   Table weights_rows_;
-  Table rollout_rows_;  // followed only where the site moves versions in stages
+  Table rollout_rows_;  // followed only if the site uses staged rollouts
 };
 
 }  // namespace quincewick::gateway
--- a/src/gateway/snapshot_limiter.h
+++ b/src/gateway/snapshot_limiter.h
@@ -1,5 +1,5 @@
-// How many followers are sent a whole large table at once: what a reader has ready to be sent must fit into
-// its memory, and what it sends must arrive before its followers give up. Pure; `now` never goes back.
+// Limits how many followers are sent a snapshot of a large table at once: a reader's send buffers must fit
+// into its memory, and snapshots must arrive before the followers time out. Without I/O; `now` is monotonic.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -13,19 +13,19 @@
 
 class SnapshotLimiter {
  public:
-  // Whether one more may be sent now.
+  // Whether one more snapshot may be sent now.
   bool maySend(absl::Time now);
   void noteSent(const NodeId& follower, absl::Time now) { in_progress_[follower] = now; }
-  // The follower's next question came: it has its last answer.
+  // Called for the follower's next request, which shows that it has the last response.
   void noteDelivered(const NodeId& follower) { in_progress_.erase(follower); }
 
-  // Of 0.3 MB each for 10,000 servers: 20 MB, which the smallest machine that reads has.
+  // A snapshot of 10,000 servers takes 0.3 MB: 20 MB in total, which the smallest reader machine has free.
   static constexpr size_t kMaxConcurrent = 64;
-  // One that is not followed by a question within that time is over: its follower went.
+  // A snapshot without another request within this time no longer counts: its follower is assumed gone.
   static constexpr absl::Duration kSendTimeout = absl::Seconds(2);
 
  private:
-  absl::flat_hash_map<NodeId, absl::Time> in_progress_;  // since when
+  absl::flat_hash_map<NodeId, absl::Time> in_progress_;  // send time by follower
 };
 
 inline bool SnapshotLimiter::maySend(absl::Time now) {
--- a/src/gateway/snapshot_reader.cc
+++ b/src/gateway/snapshot_reader.cc
@@ -5,7 +5,7 @@
 namespace quincewick::gateway {
 namespace {
 
-constexpr uint32_t kRowsPerPage = 500;  // the most that the store gives
+constexpr uint32_t kRowsPerPage = 500;  // the store's maximum
 
 }  // namespace
 
--- a/src/gateway/snapshot_reader.h
+++ b/src/gateway/snapshot_reader.h
@@ -1,4 +1,4 @@
-// Reads a table of the store whole, page by page.
+// Reads a snapshot of a table of the store, page by page.
 #pragma once
 
 #include <cstdint>
@@ -13,22 +13,22 @@
 
 struct TableSnapshot {
   std::vector<forwarding::StoreRow> rows;
-  // The store's before the first page: a row of it may change while later ones are read, and the changes
-  // since are told after this version.
+  // The store's version as of the first page. Rows may change while later pages are read; these changes are
+  // part of the deltas after this version.
   uint64_t version = 0;
-  absl::Duration clock;  // the store's, at the last page
+  absl::Duration clock;  // the store's clock at the last page
 };
 
 class SnapshotReader {
  public:
-  // `table` is whole if the status is kDone.
+  // `table` is complete if the status is kDone, otherwise empty.
   using Done = std::function<void(StoreStatus status, TableSnapshot table)>;
 
   explicit SnapshotReader(Core& core) : store_(core) {}
 
-  // `page_limit`: how long a page may take.
+  // `page_limit`: timeout of each page.
   void read(const std::string& table, Done done, absl::Duration page_limit = StoreClient::kCallLimit);
-  // What is under way is not told any more.
+  // Cancels the read in progress: `done` is not called.
   void cancel() { ++generation_; }
 
  private:
@@ -36,7 +36,7 @@
                 Done done);
 
   StoreClient store_;
-  uint64_t generation_ = 0;  // rises with each reading and cancellation
+  uint64_t generation_ = 0;  // incremented with each read and cancellation, to discard late responses
 };
 
 }  // namespace quincewick::gateway
--- a/src/gateway/store_client.h
+++ b/src/gateway/store_client.h
@@ -1,5 +1,5 @@
-// The store's rows as the parts of a gateway read and write them. Calls of different purposes go over
-// connections of their own, so that a long wait for changes holds nothing up.
+// Reads and writes rows of the store. Each component has its own client and so its own connection, so that a
+// long poll blocks no other call.
 #pragma once
 
 #include <absl/time/time.h>
@@ -16,13 +16,13 @@
 
 namespace quincewick::gateway {
 
-// How a call of the store ended.
+// The outcome of a store call.
 enum class StoreStatus : uint8_t {
   kDone,
-  kConflict,     // a condition did not hold; the rows are as they are
-  kHistoryGone,  // changes since that version can't be told any more
+  kConflict,     // a condition did not hold; `rows` holds the current rows
+  kHistoryGone,  // the changes since that version are no longer available
   kNotDone,      // refused, or never sent
-  kUnknown,      // no answer: a write may have been done, or may yet be
+  kUnknown,      // no response: a write may have been done, or may still be
 };
 
 class StoreClient {
@@ -31,25 +31,25 @@
 
   explicit StoreClient(Core& core) : core_(core), caller_(core.reactor, core.timers, core.settings.store) {}
 
-  // How long a call may take.
+  // Timeout of a call.
   static constexpr absl::Duration kCallLimit = absl::Milliseconds(1500);
 
-  // `time_limit`: of this call.
+  // `time_limit`: the timeout of this call.
   void read(std::string_view table, std::string_view from, uint32_t limit, absl::Duration time_limit,
             Done done);
   void read(std::string_view table, std::string_view from, uint32_t limit, Done done) {
     read(table, from, limit, kCallLimit, std::move(done));
   }
-  // Answers when a row changed after that version, or when the wait is over.
+  // Long poll: completes when a row changed after that version, or when `wait` has passed.
   void follow(std::string_view table, uint64_t after, absl::Duration wait, Done done);
   void write(const forwarding::StoreRow& row, uint64_t expected_version, Done done);
-  // All of them or none.
+  // Does all writes in one transaction.
   void writeAll(const std::vector<forwarding::RowWrite>& writes, Done done);
 
  private:
   void call(HttpCall call, absl::Duration time_limit, Done done);
-  // What an answer that was asked for at `began` tells of the store itself. Returns whether it counts: one of
-  // an era that is over tells nothing of the store as it is.
+  // Updates the store's history (era and version) from the response to a request sent at `began`. Returns
+  // whether the response is valid: one from a past era says nothing about the current store.
   bool noteStoreHistory(const HttpHead& head, uint64_t version, absl::Time began);
 
   Core& core_;
--- a/src/gateway/table_follower.cc
+++ b/src/gateway/table_follower.cc
@@ -80,7 +80,7 @@
   scheduleUnlessStopped(after, [this] { follow(); });
 }
 
-// Changes can't be told, or not any more: a whole reading tells them, too.
+// Deltas are unavailable, so a snapshot replaces them.
 void TableFollower::fallBackToSnapshot(StoreStatus why) {
   ++generation_;
   snapshot_reader_.cancel();
@@ -90,7 +90,7 @@
                         [this] { readSnapshot(); });
 }
 
-// While the store is down, whole readings alone ask whether it is back.
+// While the store is down, only snapshot reads probe whether it is back.
 void TableFollower::follow() {
   if (is_down_) {
     followAfter(pace_.afterFailedChanges());
--- a/src/gateway/table_follower.h
+++ b/src/gateway/table_follower.h
@@ -1,5 +1,5 @@
-// Follows one table of the store: reads it whole, then its changes, and whole again where the history is
-// gone, an answer failed, or a confirmation is due.
+// Follows one table of the store: reads a snapshot, then deltas by long polls, and another snapshot when the
+// history is gone, a call failed, or a confirmation is due.
 #pragma once
 
 #include <absl/time/time.h>
@@ -29,18 +29,18 @@
 
   TableFollower(Core& core, TableFollowerSettings settings, UpdateHandler update);
 
-  // Follows from now on, with a whole reading first; does nothing while it follows.
+  // Starts following, beginning with a snapshot. No effect while it follows.
   void start();
-  // Begins anew, with a whole reading at once.
+  // Starts again, with a snapshot at once.
   void restart() {
     stop();
     start();
   }
-  // Stops; answers under way are not taken any more.
+  // Stops. Responses to calls in progress are ignored.
   void stop();
-  // From the next question on: how long the store holds one that it has no changes for.
+  // Sets how long the store holds a long poll without changes, from the next request on.
   void setWait(absl::Duration wait) { settings_.pace.wait = wait; }
-  // Whether the store's last answer about the whole table was none.
+  // Whether the last snapshot read failed.
   bool isDown() const { return is_down_; }
 
  private:
@@ -50,7 +50,7 @@
   void handleReadFailure();
   void followAfter(absl::Duration after);
   void follow();
-  // Calls the action later unless the following has stopped meanwhile.
+  // Schedules the action, which is skipped if following was stopped or restarted in the meantime.
   void scheduleUnlessStopped(absl::Duration after, const std::function<void()>& action);
 
   Core& core_;
@@ -58,9 +58,10 @@
   forwarding::ReadingPace pace_;
   UpdateHandler on_update_;
   SnapshotReader snapshot_reader_;
-  std::unique_ptr<StoreClient> feed_store_;  // a new one at each start: an old wait may go on for long
-  uint64_t version_ = 0;                     // all changes up to here have been taken; 0: none yet
-  uint64_t generation_ = 0;                  // rises with each start and stop
+  std::unique_ptr<StoreClient>
+      feed_store_;           // a new one for each start, because an old long poll may still be in progress
+  uint64_t version_ = 0;     // all changes up to this version were applied; 0: none yet
+  uint64_t generation_ = 0;  // incremented with each start and stop, to discard late responses
   bool is_following_ = false;
   bool follows_changes_ = false;
   bool is_down_ = false;
--- a/src/gateway/weight_loader.cc
+++ b/src/gateway/weight_loader.cc
@@ -13,17 +13,19 @@
 constexpr absl::Duration kTickInterval = absl::Milliseconds(100);
 constexpr absl::Duration kCallTimeout = absl::Milliseconds(500);
 constexpr absl::Duration kReportInterval = absl::Milliseconds(150);
-constexpr absl::Duration kMaxReportInterval = absl::Seconds(1);  // else a load's end is noticed too late
-constexpr int kRequestsPerReport = 4;                            // requests for each report
-// Between the turns of gateways to take the lease: the first few follow quickly, for a giver that went. Where
-// they don't get it, the store is down or another holds it, and each further one that asks costs a call.
+constexpr absl::Duration kMaxReportInterval =
+    absl::Seconds(1);                  // a longer one delays noticing that a load completed
+constexpr int kRequestsPerReport = 4;  // at the engine's rate limit, one report per so many requests
+// Delay between the gateways' turns to acquire the lease. The first few turns follow quickly, to replace a
+// holder that crashed. If these fail, the store is down or another gateway holds the lease, and each further
+// attempt costs a store call.
 constexpr absl::Duration kLeaseTurnStep = absl::Milliseconds(400);
 constexpr forwarding::TurnSchedule kLeaseTurns = {kLeaseTurnStep, 5, absl::Seconds(1)};
 constexpr absl::Duration kLoadBlockDuration =
-    absl::Milliseconds(3500);  // an engine with an order, unless told otherwise
+    absl::Milliseconds(3500);  // for an engine with an order, unless it is unblocked earlier
 constexpr absl::Duration kReserveBlockDuration = absl::Milliseconds(1500);
 constexpr absl::Duration kOrderReportDelay =
-    absl::Milliseconds(700);  // after which a report must show an order taken
+    absl::Milliseconds(700);  // after which a report must show an accepted order
 constexpr absl::Duration kLoadTimeout = absl::Seconds(6);
 constexpr uint32_t kMaxReportFailures = 3;
 constexpr int kOk = 200;
@@ -50,10 +52,10 @@
                        forwarding::planRollout(rolloutEngines(model, now), model, core_.weights,
                                                core_.settings.bounds.weights_in_force, load_time_.expected(),
                                                forwarding::RolloutSettings(), now));
-    // The lease is taken a moment before the first order.
+    // Acquire the lease shortly before the first order.
     is_work_due_ = is_work_due_ || now >= plans.back().second.next_start - kLeaseTurnStep;
   }
-  // A gateway that stops goes on with what it holds, but takes nothing new.
+  // A stopping gateway completes its work under a lease that it holds, but does not acquire one.
   const bool is_lease_needed = is_work_due_ && (!core_.is_stopping || lease_.holds(now));
   const bool needs_acquisition = is_lease_needed && !lease_.holds(now);
   lease_.maintain(is_lease_needed, needs_acquisition ? leaseTurnDelay(now) : absl::ZeroDuration(),
@@ -66,14 +68,14 @@
   core_.timers.schedule(now + kTickInterval, [this] { tick(); });
 }
 
-// Gateways try one after the other, so that they don't all ask at once. The order is by hashes: gateways of
-// one zone, which may be cut off together, have neighbouring ids.
+// Gateways try one after the other, so that they don't all call the store at once. They are ordered by hash,
+// because gateways of one zone, which may be partitioned together, have neighbouring ids.
 absl::Duration WeightLoader::leaseTurnDelay(absl::Time now) const {
-  const auto place_of = [](const NodeId& gateway) { return hashOf(gateway.value()); };
-  const uint64_t own = place_of(core_.settings.gateway_id);
+  const auto position_of = [](const NodeId& gateway) { return hashOf(gateway.value()); };
+  const uint64_t own = position_of(core_.settings.gateway_id);
   const std::vector<NodeId> peers = peers_.livePeers(now);
   const int64_t before =
-      std::count_if(peers.begin(), peers.end(), [&](const NodeId& peer) { return place_of(peer) < own; });
+      std::count_if(peers.begin(), peers.end(), [&](const NodeId& peer) { return position_of(peer) < own; });
   return kLeaseTurns.after(before);
 }
 
@@ -150,7 +152,7 @@
       [this, server_id](const Result<reactor::HttpReply>& reply) { handleReport(server_id, reply); });
 }
 
-void WeightLoader::noteReply(const Load& load, const Result<reactor::HttpReply>& reply) {
+void WeightLoader::applyBackPressure(const Load& load, const Result<reactor::HttpReply>& reply) {
   if (reply.has_value()) {
     noteBackPressure(core_, *load.server, core_.dialect->readAnswer(reply.value().head), true,
                      reactor::steadyNow());
@@ -159,7 +161,7 @@
 
 void WeightLoader::handleReport(const std::string& server_id, const Result<reactor::HttpReply>& reply) {
   Load& load = loads_.at(server_id);
-  noteReply(load, reply);
+  applyBackPressure(load, reply);
   const absl::Time now = reactor::steadyNow();
   const bool is_abandoned = now - load.started_at > kLoadTimeout || load.server->isLeaving();
   if (is_abandoned) {
@@ -247,7 +249,7 @@
 void WeightLoader::handleOrderResponse(const std::string& server_id,
                                        const Result<reactor::HttpReply>& reply) {
   Load& load = loads_.at(server_id);
-  noteReply(load, reply);
+  applyBackPressure(load, reply);
   const absl::Time now = reactor::steadyNow();
   const int status = reply.has_value() ? reply.value().head.status : 0;
   core_.log.event("order_answered", now)
@@ -276,8 +278,8 @@
   requestReportLater(server_id, kReportInterval);
 }
 
-// Reports count among what an engine takes: of a rate that it named they use up a quarter at most, and a rest
-// that it asked for holds for them, too.
+// Report requests count against the engine's rate limit: they use a quarter of it at most, and they observe
+// its back-off periods.
 void WeightLoader::requestReportLater(const std::string& server_id, absl::Duration after) {
   const Load& load = loads_.at(server_id);
   const forwarding::BackPressure& pressure = *load.server->back_pressure;
@@ -311,7 +313,7 @@
       .with("done", is_done ? "true" : "false")
       .with("took_ms", now - load.started_at);
   blockRequests(load.server, load.model, absl::ZeroDuration());
-  // The caller is in the middle of its answer: it goes once the reactor is back.
+  // The caller is still running this callback: destroy it from the reactor's next turn.
   core_.timers.schedule(now, [caller = std::shared_ptr<reactor::HttpCaller>(std::move(load.caller))] {});
 }
 
--- a/src/gateway/weight_loader.h
+++ b/src/gateway/weight_loader.h
@@ -1,5 +1,5 @@
-// Brings engines to newly named weights: takes the lease when it is this gateway's turn, gives orders, and
-// follows each until the engine serves the new version.
+// Loads newly published weights into engines: acquires the order lease when it is this gateway's turn, sends
+// weight-loading orders, and polls each engine until it serves the new version.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -23,18 +23,19 @@
 
   void start() { tick(); }
   bool holdsLease(absl::Time now) const { return lease_.holds(now); }
-  // Whether orders are still to be given by this gateway, so that a planned stop waits for them.
+  // Whether this gateway still has orders to send or to complete, so that a planned stop waits for them.
   bool hasPendingOrders(absl::Time now) const { return lease_.holds(now) && is_work_due_; }
 
  private:
-  // One engine's order, from its first question to the engine's new version.
+  // One engine's load, from the first report request until the engine serves the new version.
   struct Load {
     forwarding::ServerDirectory::ServerPointer server;
     ModelName model;
     WeightsVersion target;
     absl::Time started_at;
-    absl::Time last_order_at = absl::InfinitePast();  // the last order that may have been accepted
-    Epoch fence;                                      // of the last order
+    absl::Time last_order_at =
+        absl::InfinitePast();  // when the last order that may have been accepted was sent
+    Epoch fence;               // of the last order
     std::unique_ptr<reactor::HttpCaller> caller;
     uint32_t failures = 0;
   };
@@ -47,12 +48,12 @@
   void beginLoad(const std::string& server_id, const ModelName& model, absl::Time now);
   void blockRequests(const forwarding::ServerDirectory::ServerPointer& server, const ModelName& model,
                      absl::Duration block_duration);
-  // What the engine says of itself in an answer to a call.
-  void noteReply(const Load& load, const Result<reactor::HttpReply>& reply);
+  // Records the back pressure that the engine signals in its reply.
+  void applyBackPressure(const Load& load, const Result<reactor::HttpReply>& reply);
   void requestReport(const std::string& server_id);
   void handleReport(const std::string& server_id, const Result<reactor::HttpReply>& reply);
-  // Whether the report is of the life that the load is for; if it is of a later one, the directory learns of
-  // it.
+  // Whether the report is from the incarnation that the load is for. A later incarnation is recorded in the
+  // server directory.
   bool isSameIncarnation(const Load& load, const forwarding::EngineReport& report);
   void sendOrder(const std::string& server_id, uint64_t orders_taken);
   void handleOrderResponse(const std::string& server_id, const Result<reactor::HttpReply>& reply);
@@ -62,10 +63,10 @@
   Core& core_;
   PeerExchange& peers_;
   LeaseClient lease_;
-  bool is_work_due_ = false;  // some engine must be given an order now or soon
+  bool is_work_due_ = false;  // some engine needs an order now or soon
   forwarding::LoadTime load_time_;
   absl::flat_hash_map<std::string, Load> loads_;        // by server id
-  absl::flat_hash_map<uint64_t, absl::Time> reserved_;  // since when, by the server's identity hash
+  absl::flat_hash_map<uint64_t, absl::Time> reserved_;  // reservation times by the server's identity hash
 };
 
 }  // namespace quincewick::gateway
--- a/src/gateway/weights_record.cc
+++ b/src/gateway/weights_record.cc
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-void WeightsRecord::take(const forwarding::TableNews& update) {
+void WeightsRecord::applyUpdate(const forwarding::TableNews& update) {
   const absl::Time now = reactor::steadyNow();
   const std::optional<absl::Duration> store_clock = core_.storeClock(now);
   if (!store_clock) {
@@ -35,7 +35,7 @@
     if (row.is_gone) {
       refused_rows_.forget(row.key);
     } else if (!weights || !named_at) {
-      refused_rows_.note(row.key, "no version of a model, or no time at which it was named");
+      refused_rows_.note(row.key, "the row is not a weights version with its publication time");
     } else {
       const absl::Duration age = *store_clock - absl::Milliseconds(*named_at);
       core_.weights.note(*weights, now - age);
@@ -43,7 +43,7 @@
   }
 }
 
-// All readers of the store try; the first one's row stands.
+// All zone readers attempt the write; the first row is kept.
 void WeightsRecord::record(const forwarding::NamedWeights& weights, std::function<void()> written) {
   const std::optional<absl::Duration> clock = core_.storeClock(reactor::steadyNow());
   if (!clock) {
--- a/src/gateway/weights_record.h
+++ b/src/gateway/weights_record.h
@@ -1,5 +1,6 @@
-// When each version of weights was named, kept in a table of the store: a gateway that starts later knows by
-// when engines must have it. The zone's reader reads the table and passes it on, as it does the operator's.
+// Records in a table of the store when each weights version was published, so that a gateway that starts
+// later knows the deadline by which engines must have it. Zone readers read and relay this table like the
+// operator's.
 #pragma once
 
 #include <functional>
@@ -17,9 +18,10 @@
 
   static constexpr const char* kTable = "gateway-weights";
 
-  // Takes what was recorded, whoever read it.
-  void take(const forwarding::TableNews& update);
-  // A version was named just now, as the store told. `written`: the table has the row, whoever wrote it.
+  // Applies an update of the table, from the store or from a peer.
+  void applyUpdate(const forwarding::TableNews& update);
+  // Records a version that was just published. `written`: called once the table has the row, whoever wrote
+  // it.
   void record(const forwarding::NamedWeights& weights, std::function<void()> written);
 
  private:
--- a/tests/gateway/configuration_confirmer_test.cc
+++ b/tests/gateway/configuration_confirmer_test.cc
@@ -10,7 +10,7 @@
 
 using forwarding::TableNews;
 
-// A gateway's core with a configuration that was confirmed so long ago, on a reactor that the test turns.
+// A gateway's core whose configuration is due for confirmation, on a reactor that the test drives.
 struct OutdatedCore : Fixture {
   Core core{RunningGateway::settings("a", site.secondStoreAddress(), site),
             platform_dialect::makePlatformDialect(), -1};
@@ -19,7 +19,7 @@
   const absl::Time begin = reactor::steadyNow();
 
   OutdatedCore() {
-    core.settings.bounds.configuration_in_force = absl::Minutes(3);  // a question has a third of it
+    core.settings.bounds.configuration_in_force = absl::Minutes(3);  // the request's timeout is a third of it
     core.in_force.configuration = std::make_shared<const forwarding::SiteConfiguration>();
     core.in_force.confirmed = begin - core.settings.bounds.configuration_in_force;
   }
@@ -37,7 +37,7 @@
 };
 
 TEST_CASE_METHOD(OutdatedCore,
-                 "an outdated configuration is asked for, and the answer is as old as the question") {
+                 "an outdated configuration is read again, and its confirmation dates from the request") {
   tick();
   runUntil("quincewick_configuration_confirmations_total{answered=\"true\"} 1");
   REQUIRE(news);
@@ -49,7 +49,7 @@
 }
 
 TEST_CASE_METHOD(OutdatedCore,
-                 "a question that the store refuses confirms nothing, and isn't asked again at once") {
+                 "a request that the store refuses confirms nothing and isn't retried at once") {
   site.refuseSecond(true);
   tick();
   runUntil("quincewick_configuration_confirmations_total{answered=\"false\"} 1");
@@ -61,7 +61,8 @@
   CHECK(site.secondCalls().size() == calls);
 }
 
-TEST_CASE_METHOD(OutdatedCore, "a gateway without a configuration leaves the first one to its reader") {
+TEST_CASE_METHOD(OutdatedCore,
+                 "a gateway without a configuration leaves reading the first one to its zone's reader") {
   core.in_force.configuration = nullptr;
   tick();
   core.reactor.poll();
--- a/tests/gateway/order_back_pressure_test.cc
+++ b/tests/gateway/order_back_pressure_test.cc
@@ -1,5 +1,5 @@
-// Orders for new weights and engines that ask something of their callers: a gateway asked each engine for its
-// report seven times a second while it loaded, whatever rate the engine had named.
+// Weight-loading orders and the back pressure of engines. Guards against report requests that ignore an
+// engine's rate limit: a gateway polled each engine seven times a second during a load, whatever the limit.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <chrono>
@@ -14,7 +14,7 @@
  "services":[{"name":"pool","maxConnections":100,"engine":{"slots":4,"kvCapacity":1000,"models":[{"name":"m"}]}}],
  "limits":{"maxHeaderBytes":2000,"maxBodyBytes":5000,"headerTimeoutMs":3000,"idleTimeoutMs":15000}})";
 
-// A site with one engine that is always busy with an order, and adds `said` to its answers.
+// A site with one engine that is always busy with an order and adds `said` to its response headers.
 struct EngineSite {
   StandInSite site;
 
@@ -34,11 +34,11 @@
     return static_cast<size_t>(std::count_if(
         all.begin(), all.end(), [&](const Seen& seen) { return seen.head.target.starts_with(target); }));
   }
-  // New weights are named: the gateway begins to ask the engine.
+  // Publishes new weights, so that the gateway starts polling the engine.
   void nameWeights() { site.setRow("op", "version/m", R"({"model":"m","version":2})"); }
 };
 
-TEST_CASE("reports leave most of a rate that an engine named to requests") {
+TEST_CASE("report requests leave most of an engine's rate limit to other requests") {
   EngineSite engines(HeaderFields{{"Server-Limit", "2"}});
   const RunningGateway gateway(RunningGateway::settings("a", engines.site.storeAddress(), engines.site));
   engines.nameWeights();
@@ -51,13 +51,13 @@
   CHECK(reports <= took.count() + 1);
 }
 
-TEST_CASE("an engine that says in a report that it leaves gets no order and no further report") {
+TEST_CASE("an engine that signals in a report that it leaves gets no order and no further report request") {
   EngineSite engines(HeaderFields{{"Server-Leaving", "1"}});
   const RunningGateway gateway(RunningGateway::settings("a", engines.site.storeAddress(), engines.site));
   engines.nameWeights();
   await([&] { return has(gateway.metrics(), R"(quincewick_back_pressure_total{what="leaving"} 1)"); });
   const size_t before = engines.calls("/v1/report");
-  // Longer than the pause between reports, and between tries to load an engine.
+  // Longer than the interval between report requests, and between attempts to load an engine.
   std::this_thread::sleep_for(std::chrono::milliseconds(600));
   CHECK(engines.calls("/v1/report") == before);
   CHECK(engines.calls("/v1/order") == 0);
--- a/tests/gateway/packed_rows_test.cc
+++ b/tests/gateway/packed_rows_test.cc
@@ -31,8 +31,9 @@
          one.is_gone == other.is_gone;
 }
 
-// A whole zone of 200 followers gets it at once: over a link of 200 Mbit/s that may take three seconds.
-TEST_CASE("the rows of 10,000 and of 20,000 servers unpack as they were, and a zone's link carries them") {
+// All 200 followers of a zone may request the rows at once; over a link of 200 Mbit/s that may take 3
+// seconds.
+TEST_CASE("the rows of 10,000 and 20,000 servers survive packing, and fit the link of a zone's reader") {
   for (const int count : {10'000, 20'000}) {
     const auto rows = servers(count);
     const std::string packed = packRows(rows);
@@ -45,7 +46,7 @@
   }
 }
 
-TEST_CASE("an answer is read packed or plain, as the peer's build gives it") {
+TEST_CASE("packed and plain responses are both decoded, since peers may run an earlier build") {
   RelayResponse response;
   response.rows = servers(3);
   response.is_whole = true;
@@ -62,7 +63,7 @@
   CHECK(unpacked.value().is_whole);
 }
 
-TEST_CASE("whatever bytes come as packed rows, they are read whole or refused") {
+TEST_CASE("arbitrary bytes as packed rows are either unpacked completely or refused") {
   CHECK(rc::check([](const std::string& bytes) { RC_ASSERT(unpackRows(bytes).has_error()); }));
   const std::string packed = packRows(servers(50));
   for (size_t size = 0; size < packed.size(); size += 7) {
@@ -77,7 +78,8 @@
   }));
 }
 
-TEST_CASE("so many followers get a whole table at once, the next when one has it or went") {
+TEST_CASE(
+    "a limited number of followers get a snapshot at once, and the next one after a delivery or a timeout") {
   SnapshotLimiter answers;
   const absl::Time now = absl::FromUnixSeconds(1000);
   for (size_t number = 0; number < SnapshotLimiter::kMaxConcurrent; ++number) {
--- a/tests/gateway/peer_digest_test.cc
+++ b/tests/gateway/peer_digest_test.cc
@@ -6,7 +6,7 @@
 namespace quincewick::gateway {
 namespace {
 
-TEST_CASE("a digest reads back as it was written, and no part of it passes for one") {
+TEST_CASE("a digest decodes to what was encoded, and truncated digests are refused") {
   CHECK(rc::check([] {
     PeerDigest digest;
     digest.address = {"10.0.0.1", 7340};
@@ -47,13 +47,13 @@
   }));
 }
 
-TEST_CASE("a digest that tells of an engine faster than any is refused whole") {
+TEST_CASE("a digest with an impossibly fast engine is refused completely") {
   PeerDigest digest;
   digest.capabilities.push_back({5, {0, 100, 9}});
   CHECK(decodeDigest(encodeDigest(digest)).has_error());
 }
 
-TEST_CASE("loads are cut into parts that fit, and none of them is left out") {
+TEST_CASE("loads are split into parts within the limit, and none is lost") {
   CHECK(rc::check([] {
     std::vector<LoadDigest> loads(*rc::gen::inRange<size_t>(0, 700));
     uint64_t last = 0;
@@ -74,7 +74,7 @@
   }));
 }
 
-TEST_CASE("loads of servers whose hashes are alike end in one part, however many they are") {
+TEST_CASE("loads of servers with equal hashes share one part, however many they are") {
   const std::vector<LoadDigest> loads(200, LoadDigest{7, 1, 1});
   size_t largest = 0;
   for (const LoadPart& part : splitIntoParts(loads, 65)) {
@@ -83,7 +83,7 @@
   CHECK(largest == 200);
 }
 
-TEST_CASE("bytes of others are refused without taking memory for what they claim") {
+TEST_CASE("untrusted bytes are decoded without allocating memory for the sizes that they claim") {
   CHECK(rc::check([] {
     const std::string bytes = *rc::gen::arbitrary<std::string>();
     const auto read = decodeDigest(bytes);
--- a/tests/gateway/rollout_messages_test.cc
+++ b/tests/gateway/rollout_messages_test.cc
@@ -25,7 +25,7 @@
   return account;
 }
 
-TEST_CASE("a notice and an account read back as they were written") {
+TEST_CASE("a notice and an account decode to what was encoded") {
   staged_rollout::RolloutNotice notice;
   notice.known.record.service = staged_rollout::ServiceName("pool");
   notice.known.record.base = SoftwareVersion("v1");
@@ -50,7 +50,7 @@
   }
 }
 
-TEST_CASE("a large account is cut into datagrams, and none of it is lost") {
+TEST_CASE("a large account is split into datagrams without loss") {
   const RolloutAccount whole = account(40);
   staged_rollout::AnswerAccount together;
   for (const RolloutAccount& part : splitIntoDatagrams(whole)) {
@@ -63,7 +63,7 @@
   CHECK(together.target == whole.counts.target);
 }
 
-TEST_CASE("whatever bytes come as a message of a rollout, they are read or refused") {
+TEST_CASE("arbitrary bytes as a rollout message are either decoded or refused") {
   CHECK(rc::check([](const std::string& bytes) {
     const auto read = decodeRolloutMessage(bytes);
     RC_ASSERT(read.has_error() != read.has_value());
--- a/tests/gateway/server_list_test.cc
+++ b/tests/gateway/server_list_test.cc
@@ -1,4 +1,4 @@
-// The list of servers as rows come, without a network: restarts, and rows that others wrote.
+// The list of servers under row updates, without a network: restarts, and rows of other writers.
 #include "gateway/server_list.h"
 
 #include <catch2/catch.hpp>
@@ -23,7 +23,7 @@
     news.rows.push_back({"servers", id, value, ++version, false});
     news.is_whole = is_whole;
     news.version = version;
-    list.take(news, kNow);
+    list.applyUpdate(news, kNow);
   }
   static std::string entry(int64_t born, const std::string& state = "ready") {
     return R"({"service":"pool","address":"10.0.0.1:80","zone":"z","slots":4,"state":")" + state +
@@ -43,7 +43,7 @@
   }
 };
 
-TEST_CASE("a row that can't be read names no server, and the others hold") {
+TEST_CASE("an unreadable row adds no server and affects no other") {
   Fixture fixture;
   fixture.take("a", Fixture::entry(kFirstStart), true);
   fixture.take("b", "\xff{nonsense");
@@ -51,7 +51,7 @@
   CHECK(fixture.takesWork("a"));
 }
 
-TEST_CASE("an unreadable row is told once, not at each heartbeat") {
+TEST_CASE("an unreadable row is logged once, not at each heartbeat") {
   Fixture fixture;
   for (int heartbeat = 0; heartbeat < 5; ++heartbeat) {
     fixture.take("b", R"({"service":"pool","sequence":)" + std::to_string(heartbeat) + "}");
@@ -59,7 +59,7 @@
   CHECK(fixture.linesWith("row_refused") == 1);
 }
 
-TEST_CASE("a sound server whose entry turns unreadable gets nothing new until it can be read") {
+TEST_CASE("a known server whose entry becomes unreadable gets no new requests until it is readable") {
   Fixture fixture;
   fixture.take("a", Fixture::entry(kFirstStart), true);
   const auto server = fixture.core.directory.find("a");
@@ -70,14 +70,14 @@
   CHECK(fixture.core.directory.find("a") == server);
 }
 
-TEST_CASE("a whole reading with an unreadable row does not take its server for gone") {
+TEST_CASE("a snapshot with an unreadable row does not remove its server") {
   Fixture fixture;
   fixture.take("a", Fixture::entry(kFirstStart), true);
   fixture.take("a", "{}", true);
   CHECK(fixture.core.directory.find("a") != nullptr);
 }
 
-TEST_CASE("a server that drained and started again is used, and its slot is as new") {
+TEST_CASE("a server that restarted after draining is used again, as a new server object") {
   Fixture fixture;
   fixture.take("a", Fixture::entry(kFirstStart), true);
   const auto earlier = fixture.core.directory.find("a");
@@ -89,7 +89,7 @@
   CHECK(fixture.linesWith("server_restarted") == 1);
 }
 
-TEST_CASE("a row of an earlier start is passed over and told once") {
+TEST_CASE("a row of an earlier start is ignored and logged once") {
   Fixture fixture;
   fixture.take("a", Fixture::entry(kFirstStart), true);
   for (int told = 0; told < 3; ++told) {
@@ -99,7 +99,7 @@
   CHECK(fixture.linesWith("row_refused") == 1);
 }
 
-TEST_CASE("a start in the future counts as not told: the server is used, and its true start counts later") {
+TEST_CASE("a start time in the future is ignored: the server is used, and a valid start time applies later") {
   Fixture fixture;
   const int64_t ahead = absl::ToUnixMillis(absl::Now() + absl::Hours(24 * 365));
   fixture.take("a", Fixture::entry(ahead), true);
--- a/tests/gateway/staged_rollout_test.cc
+++ b/tests/gateway/staged_rollout_test.cc
@@ -1,5 +1,5 @@
-// A rollout at one gateway on loopback: the operator's row, servers of two versions, the status that the
-// operator reads.
+// A rollout at one gateway over loopback: the operator's row, servers of two versions, and the status row for
+// the operator.
 #include <algorithm>
 #include <catch2/catch.hpp>
 
@@ -28,7 +28,7 @@
   }
 }
 
-// A server of the version that is there, and one of a version whose answers are all failures.
+// A server of the current version, and one of a version that fails every request.
 void addBadVersion(StandInSite& site) {
   site.addServer("old", [](const Seen& /*seen*/) { return Script{signedAnswer("")}; });
   site.addServer(
@@ -39,8 +39,9 @@
       "[]", "v2");
 }
 
-TEST_CASE_METHOD(Fixture,
-                 "a bad version gets nothing before it is asked for, little then, and nothing afterwards") {
+TEST_CASE_METHOD(
+    Fixture,
+    "a bad version gets no requests before the rollout, few during it, and none after the rollback") {
   addBadVersion(site);
   const RunningGateway gateway(movingVersions(site));
   await([this] { return site.hasRows("gateway-rollouts"); });
@@ -60,9 +61,9 @@
   CHECK(askedOf(site, "old") > 0);
 }
 
-// A request for the version that is tried already goes on with it; what was seen of that version still
-// counts. Here it comes with each reading of the store, more often than a verdict takes.
-TEST_CASE_METHOD(Fixture, "bad answers still count where the operator asks for the same version again") {
+// Guards against losing a rollout's counts when the operator's request for the same version is written again.
+// Here it is rewritten more often than a verdict takes.
+TEST_CASE_METHOD(Fixture, "failures still count when the operator requests the same version again") {
   constexpr size_t kFarTooMany = 1000;
   addBadVersion(site);
   GatewaySettings settings = movingVersions(site);
@@ -78,7 +79,7 @@
   CHECK(askedOf(site, "new") < kFarTooMany);
 }
 
-TEST_CASE_METHOD(Fixture, "a request that can't be read, or is of another service, changes nothing") {
+TEST_CASE_METHOD(Fixture, "an unreadable rollout request, or one of another service, changes nothing") {
   site.addServer("old", [](const Seen& /*seen*/) { return Script{signedAnswer("")}; });
   site.addServer(
       "new", [](const Seen& /*seen*/) { return Script{signedAnswer("")}; }, "[]", "v2");
@@ -91,7 +92,7 @@
   CHECK_FALSE(site.hasRows("status"));
 }
 
-TEST_CASE_METHOD(Fixture, "where versions don't matter, servers of any are used and no row is written") {
+TEST_CASE_METHOD(Fixture, "without staged rollouts, servers of all versions are used and no row is written") {
   site.addServer("old", [](const Seen& /*seen*/) {
     return Script{answerOf(503, {{"Quincewick-Not-Executed", "1"}}, "")};
   });
