--- a/src/gateway/relay_follower.h
+++ b/src/gateway/relay_follower.h
@@ -23,12 +23,12 @@
 
   // `wait`: how long the peer holds a request while it has no update.
   RelayFollower(Core& core, PeerDirectory& peers, std::string table, absl::Duration wait,
-                UpdateHandler update, FailureHandler on_failure)
+                UpdateHandler on_update, FailureHandler on_failure)
       : core_(core),
         peers_(peers),
         table_(std::move(table)),
         wait_(wait),
-        on_update_(std::move(update)),
+        on_update_(std::move(on_update)),
         on_failure_(std::move(on_failure)) {}
 
   // Starts following the peer. `after`: the version that this gateway has already.
--- a/src/gateway/rollout_exchange.cc
+++ b/src/gateway/rollout_exchange.cc
@@ -229,7 +229,7 @@
   if (request.is_repeat && state.gate.mayUse(known.record.base, clock, now)) {
     return known.record.base;
   }
-  const auto side = state.gate.choose(hashOf(request.route), request.place, clock, now);
+  const auto side = state.gate.choose(hashOf(request.route), request.prompt_position, clock, now);
   if (!side) {
     return std::nullopt;
   }
--- a/src/gateway/rollout_exchange.h
+++ b/src/gateway/rollout_exchange.h
@@ -42,8 +42,8 @@
   struct VersionRequest {
     forwarding::ServiceName service;
     std::string_view route;
-    double place = 0;        // in [0, 1]; the same for all requests with one prompt
-    bool is_repeat = false;  // sent to the baseline version, which is better known
+    double prompt_position = 0;  // in [0, 1]; the same for all requests with one prompt
+    bool is_repeat = false;      // sent to the baseline version, which is better known
   };
   // Returns the version to send the request to, and counts it towards that version's share. Empty if no
   // version may be used.
--- a/src/gateway/table_follower.cc
+++ b/src/gateway/table_follower.cc
@@ -5,11 +5,11 @@
 
 namespace quincewick::gateway {
 
-TableFollower::TableFollower(Core& core, TableFollowerSettings settings, UpdateHandler update)
+TableFollower::TableFollower(Core& core, TableFollowerSettings settings, UpdateHandler on_update)
     : core_(core),
       settings_(std::move(settings)),
       pace_(settings_.pace),
-      on_update_(std::move(update)),
+      on_update_(std::move(on_update)),
       snapshot_reader_(core) {}
 
 void TableFollower::start() {
--- a/src/gateway/table_follower.h
+++ b/src/gateway/table_follower.h
@@ -27,7 +27,7 @@
  public:
   using UpdateHandler = std::function<void(const forwarding::TableNews& update)>;
 
-  TableFollower(Core& core, TableFollowerSettings settings, UpdateHandler update);
+  TableFollower(Core& core, TableFollowerSettings settings, UpdateHandler on_update);
 
   // Starts following, beginning with a snapshot. No effect while it follows.
   void start();
--- a/tests/gateway/configuration_confirmer_test.cc
+++ b/tests/gateway/configuration_confirmer_test.cc
@@ -15,7 +15,7 @@
   Core core{RunningGateway::settings("a", site.secondStoreAddress(), site),
             platform_dialect::makePlatformDialect(), -1};
   std::optional<TableNews> news;
-  ConfigurationConfirmer confirmer{core, [this](const TableNews& told) { news = told; }};
+  ConfigurationConfirmer confirmer{core, [this](const TableNews& update) { news = update; }};
   const absl::Time begin = reactor::steadyNow();
 
   OutdatedCore() {
--- a/tests/gateway/order_back_pressure_test.cc
+++ b/tests/gateway/order_back_pressure_test.cc
@@ -14,17 +14,17 @@
  "services":[{"name":"pool","maxConnections":100,"engine":{"slots":4,"kvCapacity":1000,"models":[{"name":"m"}]}}],
  "limits":{"maxHeaderBytes":2000,"maxBodyBytes":5000,"headerTimeoutMs":3000,"idleTimeoutMs":15000}})";
 
-// A site with one engine that is always busy with an order and adds `said` to its response headers.
+// A site with one engine that is always busy with an order and adds `fields` to its response headers.
 struct EngineSite {
   StandInSite site;
 
-  explicit EngineSite(const HeaderFields& said) {
+  explicit EngineSite(const HeaderFields& fields) {
     site.setRow("op", "config", kEngineConfiguration);
     site.addServer(
         "i-1",
-        [said](const Seen& /*seen*/) {
+        [fields](const Seen& /*seen*/) {
           return Script{answerOf(
-              200, said,
+              200, fields,
               R"({"stage":"colocated","models":[{"name":"m","version":1}],"busy":true,"sequence":0})")};
         },
         R"([{"name":"m","version":1}])");
--- a/tests/gateway/packed_rows_test.cc
+++ b/tests/gateway/packed_rows_test.cc
@@ -80,18 +80,18 @@
 
 TEST_CASE(
     "a limited number of followers get a snapshot at once, and the next one after a delivery or a timeout") {
-  SnapshotLimiter answers;
+  SnapshotLimiter limiter;
   const absl::Time now = absl::FromUnixSeconds(1000);
   for (size_t number = 0; number < SnapshotLimiter::kMaxConcurrent; ++number) {
-    CHECK(answers.maySend(now));
-    answers.noteSent(NodeId(absl::StrCat("g-", number)), now);
+    CHECK(limiter.maySend(now));
+    limiter.noteSent(NodeId(absl::StrCat("g-", number)), now);
   }
-  CHECK_FALSE(answers.maySend(now));
-  answers.noteDelivered(NodeId("g-5"));
-  CHECK(answers.maySend(now));
-  answers.noteSent(NodeId("g-new"), now);
-  CHECK_FALSE(answers.maySend(now + absl::Seconds(1)));
-  CHECK(answers.maySend(now + absl::Seconds(3)));
+  CHECK_FALSE(limiter.maySend(now));
+  limiter.noteDelivered(NodeId("g-5"));
+  CHECK(limiter.maySend(now));
+  limiter.noteSent(NodeId("g-new"), now);
+  CHECK_FALSE(limiter.maySend(now + absl::Seconds(1)));
+  CHECK(limiter.maySend(now + absl::Seconds(3)));
 }
 
 }  // namespace
--- a/tests/gateway/rollout_messages_test.cc
+++ b/tests/gateway/rollout_messages_test.cc
@@ -31,12 +31,12 @@
   notice.known.record.base = SoftwareVersion("v1");
   notice.known.row = 9;
   notice.stops_target = true;
-  const auto told = decodeRolloutMessage(encodeRolloutMessage({notice, std::nullopt}));
-  REQUIRE(told.has_value());
-  REQUIRE(told.value().notice.has_value());
-  CHECK(told.value().notice->known.record == notice.known.record);
-  CHECK(told.value().notice->known.row == 9);
-  CHECK(told.value().notice->stops_target);
+  const auto decoded = decodeRolloutMessage(encodeRolloutMessage({notice, std::nullopt}));
+  REQUIRE(decoded.has_value());
+  REQUIRE(decoded.value().notice.has_value());
+  CHECK(decoded.value().notice->known.record == notice.known.record);
+  CHECK(decoded.value().notice->known.row == 9);
+  CHECK(decoded.value().notice->stops_target);
   const RolloutAccount written = account(3);
   const std::string bytes = encodeRolloutMessage({std::nullopt, written});
   const auto read = decodeRolloutMessage(bytes);
--- a/tests/gateway/server_list_test.cc
+++ b/tests/gateway/server_list_test.cc
@@ -92,7 +92,7 @@
 TEST_CASE("a row of an earlier start is ignored and logged once") {
   Fixture fixture;
   fixture.take("a", Fixture::entry(kFirstStart), true);
-  for (int told = 0; told < 3; ++told) {
+  for (int repetition = 0; repetition < 3; ++repetition) {
     fixture.take("a", Fixture::entry(kFirstStart - 1, "draining"));
   }
   CHECK(fixture.takesWork("a"));
--- a/tests/gateway/staged_rollout_test.cc
+++ b/tests/gateway/staged_rollout_test.cc
@@ -16,7 +16,7 @@
   return settings;
 }
 
-size_t askedOf(const StandInSite& site, const std::string& server) {
+size_t requestsTo(const StandInSite& site, const std::string& server) {
   const std::vector<Seen> seen = site.seen();
   return static_cast<size_t>(
       std::count_if(seen.begin(), seen.end(), [&server](const Seen& one) { return one.server == server; }));
@@ -46,19 +46,19 @@
   const RunningGateway gateway(movingVersions(site));
   await([this] { return site.hasRows("gateway-rollouts"); });
   ask(gateway, 100);
-  CHECK(askedOf(site, "new") == 0);
+  CHECK(requestsTo(site, "new") == 0);
   site.setRow("op", "rollout/pool", kRequest);
   await([&] {
     ask(gateway, 100);
     return has(site.row("status", "rollout/pool"), "rolled_back");
   });
   CHECK(has(site.row("status", "rollout/pool"), R"("targetVersion":"v2")"));
-  const size_t asked = askedOf(site, "new");
-  CHECK(asked > 0);
-  CHECK(asked * 10 <= site.seen().size());
+  const size_t during_rollout = requestsTo(site, "new");
+  CHECK(during_rollout > 0);
+  CHECK(during_rollout * 10 <= site.seen().size());
   ask(gateway, 200);
-  CHECK(askedOf(site, "new") == asked);
-  CHECK(askedOf(site, "old") > 0);
+  CHECK(requestsTo(site, "new") == during_rollout);
+  CHECK(requestsTo(site, "old") > 0);
 }
 
 // Guards against losing a rollout's counts when the operator's request for the same version is written again.
@@ -74,9 +74,9 @@
     site.setRow("op", "rollout/pool", kRequest);
     ask(gateway, 20);
     const bool is_over = has(site.row("status", "rollout/pool"), "rolled_back");
-    return is_over || askedOf(site, "new") >= kFarTooMany;
+    return is_over || requestsTo(site, "new") >= kFarTooMany;
   });
-  CHECK(askedOf(site, "new") < kFarTooMany);
+  CHECK(requestsTo(site, "new") < kFarTooMany);
 }
 
 TEST_CASE_METHOD(Fixture, "an unreadable rollout request, or one of another service, changes nothing") {
@@ -88,7 +88,7 @@
   const RunningGateway gateway(movingVersions(site));
   await([this] { return site.hasRows("gateway-rollouts"); });
   ask(gateway, 200);
-  CHECK(askedOf(site, "new") == 0);
+  CHECK(requestsTo(site, "new") == 0);
   CHECK_FALSE(site.hasRows("status"));
 }
 
@@ -101,7 +101,7 @@
   site.setRow("op", "rollout/pool", kRequest);
   const RunningGateway gateway(site);
   ask(gateway, 5);
-  CHECK(askedOf(site, "new") > 0);
+  CHECK(requestsTo(site, "new") > 0);
   CHECK_FALSE(site.hasRows("gateway-rollouts"));
 }
 
