--- a/src/gateway/back_end_link.cc
+++ b/src/gateway/back_end_link.cc
@@ -23,7 +23,7 @@
 }  // namespace
 
 BackEndLink::BackEndLink(BackEndPool& pool, forwarding::ServerDirectory::ServerPointer server)
-    : pool_(pool), server_(std::move(server)), reader_(MessageKind::kAnswer, kAnswerLimits) {}
+    : pool_(pool), server_(std::move(server)), reader_(MessageKind::kResponse, kAnswerLimits) {}
 
 uint64_t BackEndLink::begin(AttemptRequest request, AttemptListener* listener) {
   const uint64_t number = ++number_;
@@ -52,7 +52,7 @@
   connection_ = reactor::Connection::connect(
       pool_.core_.reactor, server_->entry.address, [self](reactor::ConnectResult result) {
         self->pool_.core_.timers.cancel(self->connect_limit_);
-        const bool connected = result == reactor::ConnectResult::kUp;
+        const bool connected = result == reactor::ConnectResult::kConnected;
         if (!connected) {
           self->noteUnconnected(result);
         }
@@ -156,7 +156,7 @@
 
 void BackEndLink::finish() {
   AttemptListener* const listener = std::exchange(listener_, nullptr);
-  const bool reusable = reader_.keepsAlive() && !reader_.lastsToEnd() && reader_.unreadBytes() == 0 &&
+  const bool reusable = reader_.keepsAlive() && !reader_.bodyEndsAtClose() && reader_.unreadBytes() == 0 &&
                         isOpen() && connection_->unsentBytes() == 0;
   if (reusable) {
     idle_since_ = reactor::steadyNow();
--- a/src/gateway/cache_store_watch.cc
+++ b/src/gateway/cache_store_watch.cc
@@ -29,7 +29,7 @@
   look.limit =
       core_.timers.schedule(reactor::steadyNow() + kConnectLimit, [this, name] { end(name, false); });
   const auto connected = [this, name](reactor::ConnectResult result) {
-    const bool is_reached = result == reactor::ConnectResult::kUp;
+    const bool is_reached = result == reactor::ConnectResult::kConnected;
     // Not from within the connection's own call.
     core_.timers.schedule(reactor::steadyNow(), [this, name, is_reached] { end(name, is_reached); });
   };
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -57,11 +57,11 @@
   callers_ = std::make_unique<reactor::Listener>(
       core_.reactor, listen.callers,
       [this](reactor::Connection::Socket socket) { acceptCaller(std::move(socket)); });
-  readiness_ = std::make_unique<reactor::PlainServer>(core_.reactor, listen.readiness,
-                                                      [this](const HttpHead&) { return answerReadiness(); });
+  readiness_ = std::make_unique<reactor::SimpleHttpServer>(
+      core_.reactor, listen.readiness, [this](const HttpHead&) { return answerReadiness(); });
   if (listen.metrics) {
-    metrics_ = std::make_unique<reactor::PlainServer>(core_.reactor, *listen.metrics,
-                                                      [this](const HttpHead&) { return answerMetrics(); });
+    metrics_ = std::make_unique<reactor::SimpleHttpServer>(
+        core_.reactor, *listen.metrics, [this](const HttpHead&) { return answerMetrics(); });
   }
   const bool are_bound = callers_->isListening() && readiness_->isListening() &&
                          (metrics_ == nullptr || metrics_->isListening());
@@ -127,13 +127,13 @@
   connection->start();
 }
 
-reactor::PlainAnswer Gateway::answerReadiness() const {
-  reactor::PlainAnswer answer;
+reactor::SimpleHttpResponse Gateway::answerReadiness() const {
+  reactor::SimpleHttpResponse answer;
   answer.status = isReady() ? kOk : kUnavailable;
   return answer;
 }
 
-reactor::PlainAnswer Gateway::answerMetrics() {
+reactor::SimpleHttpResponse Gateway::answerMetrics() {
   const absl::Time now = reactor::steadyNow();
   GatewayMetrics::Levels levels;
   if (core_.in_force.configuration != nullptr) {
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -26,7 +26,7 @@
 #include "gateway/server_rates.h"
 #include "gateway/site_follower.h"
 #include "reactor/connection.h"
-#include "reactor/plain_server.h"
+#include "reactor/simple_http_server.h"
 
 namespace quincewick::gateway {
 
@@ -58,8 +58,8 @@
  private:
   void startPeers();
   void acceptCaller(reactor::Connection::Socket socket);
-  reactor::PlainAnswer answerReadiness() const;
-  reactor::PlainAnswer answerMetrics();
+  reactor::SimpleHttpResponse answerReadiness() const;
+  reactor::SimpleHttpResponse answerMetrics();
   void awaitSignal();
   void beginStop();
   void reload();
@@ -83,8 +83,8 @@
   CacheStoreWatch cache_stores_;
   boost::asio::signal_set signals_;
   std::unique_ptr<reactor::Listener> callers_;
-  std::unique_ptr<reactor::PlainServer> readiness_;
-  std::unique_ptr<reactor::PlainServer> metrics_;
+  std::unique_ptr<reactor::SimpleHttpServer> readiness_;
+  std::unique_ptr<reactor::SimpleHttpServer> metrics_;
   absl::flat_hash_map<CallerConnection*, std::shared_ptr<CallerConnection>> connections_;
   absl::Time stop_began_ = absl::InfiniteFuture();
   bool was_ready_ = false;
--- a/src/gateway/order_giver.cc
+++ b/src/gateway/order_giver.cc
@@ -124,7 +124,7 @@
   load.target = core_.weights.newest(model);
   load.began = now;
   reserved_.erase(server->identity_hash);
-  load.caller = std::make_unique<reactor::HttpCaller>(core_.reactor, core_.timers, server->entry.address);
+  load.caller = std::make_unique<reactor::HttpClient>(core_.reactor, core_.timers, server->entry.address);
   loads_.emplace(server_id, std::move(load));
   close(server, model, kClosedFor);
   askReport(server_id);
@@ -145,17 +145,17 @@
 void OrderGiver::askReport(const std::string& server_id) {
   loads_.at(server_id).caller->call(
       core_.dialect->askReport(), kCallLimit,
-      [this, server_id](const Result<reactor::HttpReply>& reply) { takeReport(server_id, reply); });
+      [this, server_id](const Result<reactor::HttpResponse>& reply) { takeReport(server_id, reply); });
 }
 
-void OrderGiver::noteReply(const Load& load, const Result<reactor::HttpReply>& reply) {
+void OrderGiver::noteReply(const Load& load, const Result<reactor::HttpResponse>& reply) {
   if (reply.has_value()) {
     noteBackPressure(core_, *load.server, core_.dialect->readAnswer(reply.value().head), true,
                      reactor::steadyNow());
   }
 }
 
-void OrderGiver::takeReport(const std::string& server_id, const Result<reactor::HttpReply>& reply) {
+void OrderGiver::takeReport(const std::string& server_id, const Result<reactor::HttpResponse>& reply) {
   Load& load = loads_.at(server_id);
   noteReply(load, reply);
   const absl::Time now = reactor::steadyNow();
@@ -236,12 +236,12 @@
       .with("orders_taken", static_cast<int64_t>(orders_taken));
   load.caller->call(core_.dialect->loadWeights({load.model, load.target}, core_.settings.gateway_id.value(),
                                                load.fence, orders_taken, server_id),
-                    kCallLimit, [this, server_id](const Result<reactor::HttpReply>& reply) {
+                    kCallLimit, [this, server_id](const Result<reactor::HttpResponse>& reply) {
                       takeOrderAnswer(server_id, reply);
                     });
 }
 
-void OrderGiver::takeOrderAnswer(const std::string& server_id, const Result<reactor::HttpReply>& reply) {
+void OrderGiver::takeOrderAnswer(const std::string& server_id, const Result<reactor::HttpResponse>& reply) {
   Load& load = loads_.at(server_id);
   noteReply(load, reply);
   const absl::Time now = reactor::steadyNow();
@@ -308,7 +308,7 @@
       .with("took_ms", now - load.began);
   close(load.server, load.model, absl::ZeroDuration());
   // The caller is in the middle of its answer: it goes once the reactor is back.
-  core_.timers.schedule(now, [caller = std::shared_ptr<reactor::HttpCaller>(std::move(load.caller))] {});
+  core_.timers.schedule(now, [caller = std::shared_ptr<reactor::HttpClient>(std::move(load.caller))] {});
 }
 
 }  // namespace quincewick::gateway
--- a/src/gateway/order_giver.h
+++ b/src/gateway/order_giver.h
@@ -13,7 +13,7 @@
 #include "gateway/core.h"
 #include "gateway/lease_keeper.h"
 #include "gateway/peer_exchange.h"
-#include "reactor/http_caller.h"
+#include "reactor/http_client.h"
 
 namespace quincewick::gateway {
 
@@ -35,7 +35,7 @@
     absl::Time began;
     absl::Time ordered = absl::InfinitePast();  // the last order that may have been accepted
     Epoch fence;                                // of the last order
-    std::unique_ptr<reactor::HttpCaller> caller;
+    std::unique_ptr<reactor::HttpClient> caller;
     uint32_t failures = 0;
   };
 
@@ -48,14 +48,14 @@
   void close(const forwarding::ServerDirectory::ServerPointer& server, const ModelName& model,
              absl::Duration closed_for);
   // What the engine says of itself in an answer to a call.
-  void noteReply(const Load& load, const Result<reactor::HttpReply>& reply);
+  void noteReply(const Load& load, const Result<reactor::HttpResponse>& reply);
   void askReport(const std::string& server_id);
-  void takeReport(const std::string& server_id, const Result<reactor::HttpReply>& reply);
+  void takeReport(const std::string& server_id, const Result<reactor::HttpResponse>& reply);
   // Whether the report is of the life that the load is for; if it is of a later one, the directory learns of
   // it.
   bool isOfThisLife(const Load& load, const forwarding::EngineReport& report);
   void giveOrder(const std::string& server_id, uint64_t orders_taken);
-  void takeOrderAnswer(const std::string& server_id, const Result<reactor::HttpReply>& reply);
+  void takeOrderAnswer(const std::string& server_id, const Result<reactor::HttpResponse>& reply);
   void askAgain(const std::string& server_id, absl::Duration after);
   void finish(const std::string& server_id, bool is_done);
 
--- a/src/gateway/relay_follower.cc
+++ b/src/gateway/relay_follower.cc
@@ -19,7 +19,7 @@
   peer_ = peer;
   after_ = after;
   readings_ = 0;
-  caller_ = std::make_unique<reactor::HttpCaller>(core_.reactor, core_.timers, address);
+  caller_ = std::make_unique<reactor::HttpClient>(core_.reactor, core_.timers, address);
   ask();
 }
 
@@ -30,7 +30,7 @@
   }
   // It may be in the middle of its answer: it goes once the reactor is back.
   core_.timers.schedule(reactor::steadyNow(),
-                        [caller = std::shared_ptr<reactor::HttpCaller>(std::move(caller_))] {});
+                        [caller = std::shared_ptr<reactor::HttpClient>(std::move(caller_))] {});
 }
 
 void RelayFollower::ask() {
@@ -46,14 +46,15 @@
   HttpCall call{"POST", kPackedPath, {}, std::move(sealed.bytes)};
   caller_->call(
       std::move(call), wait_ + (after_ == 0 ? kWholeAnswerLimit : kAnswerLimit),
-      [this, now, turn = turn_, sequence = sealed.sequence](const Result<reactor::HttpReply>& reply) {
+      [this, now, turn = turn_, sequence = sealed.sequence](const Result<reactor::HttpResponse>& reply) {
         if (turn == turn_) {
           takeAnswer(reply, sequence, now);
         }
       });
 }
 
-void RelayFollower::takeAnswer(const Result<reactor::HttpReply>& reply, Sequence sequence, absl::Time asked) {
+void RelayFollower::takeAnswer(const Result<reactor::HttpResponse>& reply, Sequence sequence,
+                               absl::Time asked) {
   if (reply.has_error() || reply.value().head.status != kOk) {
     giveUp();
     return;
--- a/src/gateway/relay_follower.h
+++ b/src/gateway/relay_follower.h
@@ -11,7 +11,7 @@
 #include "forwarding/row_cache.h"
 #include "gateway/core.h"
 #include "gateway/peer_directory.h"
-#include "reactor/http_caller.h"
+#include "reactor/http_client.h"
 
 namespace quincewick::gateway {
 
@@ -37,7 +37,7 @@
 
  private:
   void ask();
-  void takeAnswer(const Result<reactor::HttpReply>& reply, Sequence sequence, absl::Time asked);
+  void takeAnswer(const Result<reactor::HttpResponse>& reply, Sequence sequence, absl::Time asked);
   void giveUp();
 
   Core& core_;
@@ -47,7 +47,7 @@
   News news_;
   Failed failed_;
   NodeId peer_;
-  std::unique_ptr<reactor::HttpCaller> caller_;  // null: nobody is followed
+  std::unique_ptr<reactor::HttpClient> caller_;  // null: nobody is followed
   uint64_t after_ = 0;
   uint64_t readings_ = 0;
   uint64_t turn_ = 0;  // rises with each peer that is followed
--- a/src/gateway/row_relay.cc
+++ b/src/gateway/row_relay.cc
@@ -23,10 +23,10 @@
 }  // namespace
 
 bool RowRelay::listen(const Address& address) {
-  server_ = std::make_unique<reactor::PlainServer>(
+  server_ = std::make_unique<reactor::SimpleHttpServer>(
       core_.reactor, address, kConnectionsAtMost,
       [this](const HttpHead& question, const std::string& body,
-             const reactor::PlainServer::Respond& respond) { takeQuestion(question, body, respond); });
+             const reactor::SimpleHttpServer::Respond& respond) { takeQuestion(question, body, respond); });
   return server_->isListening();
 }
 
@@ -35,7 +35,7 @@
 }
 
 void RowRelay::takeQuestion(const HttpHead& head, const std::string& body,
-                            const reactor::PlainServer::Respond& respond) {
+                            const reactor::SimpleHttpServer::Respond& respond) {
   peer::Authenticator* const authenticator = peers_.authenticator();
   if (authenticator == nullptr) {
     refuse(respond, kUnavailable);
@@ -180,7 +180,7 @@
   packed_.clear();
 }
 
-void RowRelay::refuse(const reactor::PlainServer::Respond& respond, int status) const {
+void RowRelay::refuse(const reactor::SimpleHttpServer::Respond& respond, int status) const {
   respond({status, "text/plain", ""});
 }
 
--- a/src/gateway/row_relay.h
+++ b/src/gateway/row_relay.h
@@ -15,7 +15,7 @@
 #include "gateway/peer_directory.h"
 #include "gateway/relay_messages.h"
 #include "gateway/whole_answers.h"
-#include "reactor/plain_server.h"
+#include "reactor/simple_http_server.h"
 
 namespace quincewick::gateway {
 
@@ -43,12 +43,12 @@
     NodeId asker;
     Sequence sequence;  // of the sealed question
     absl::Time came;
-    reactor::PlainServer::Respond respond;
+    reactor::SimpleHttpServer::Respond respond;
     reactor::TimerQueue::Key wait;
   };
 
   void takeQuestion(const HttpHead& head, const std::string& body,
-                    const reactor::PlainServer::Respond& respond);
+                    const reactor::SimpleHttpServer::Respond& respond);
   void hold(Held held);
   void answerWaitingForWhole();
   // Whether the answer is a large table as a whole, of which only so many go out at once.
@@ -59,11 +59,11 @@
   const std::string& packedRowsFor(const RelayQuestion& question);
   bool hasNews(const RelayQuestion& question) const;
   void answer(Held& held);
-  void refuse(const reactor::PlainServer::Respond& respond, int status) const;
+  void refuse(const reactor::SimpleHttpServer::Respond& respond, int status) const;
 
   Core& core_;
   PeerDirectory& peers_;
-  std::unique_ptr<reactor::PlainServer> server_;
+  std::unique_ptr<reactor::SimpleHttpServer> server_;
   absl::flat_hash_map<std::string, const forwarding::RowCache*> caches_;  // by table
   std::list<Held> held_;
   std::list<Held> waiting_for_whole_;
--- a/src/gateway/store_client.cc
+++ b/src/gateway/store_client.cc
@@ -9,7 +9,7 @@
 constexpr int kGone = 410;
 constexpr int kPreconditionFailed = 412;
 
-StoreStatus statusOf(const Result<reactor::HttpReply>& reply) {
+StoreStatus statusOf(const Result<reactor::HttpResponse>& reply) {
   if (reply.has_error()) {
     return reply.error().execution == Execution::kNotRun ? StoreStatus::kNotDone : StoreStatus::kUnknown;
   }
@@ -31,7 +31,7 @@
   const absl::Time began = reactor::steadyNow();
   const bool is_wait = time_limit > kCallLimit;
   caller_.call(std::move(call), time_limit,
-               [this, began, is_wait, done = std::move(done)](const Result<reactor::HttpReply>& reply) {
+               [this, began, is_wait, done = std::move(done)](const Result<reactor::HttpResponse>& reply) {
                  if (!is_wait) {
                    core_.metrics.observeStoreCall(reactor::steadyNow() - began);
                  }
--- a/src/gateway/store_client.h
+++ b/src/gateway/store_client.h
@@ -12,7 +12,7 @@
 
 #include "forwarding/dialect.h"
 #include "gateway/core.h"
-#include "reactor/http_caller.h"
+#include "reactor/http_client.h"
 
 namespace quincewick::gateway {
 
@@ -53,7 +53,7 @@
   bool noteSign(const HttpHead& head, uint64_t version, absl::Time began);
 
   Core& core_;
-  reactor::HttpCaller caller_;
+  reactor::HttpClient caller_;
 };
 
 }  // namespace quincewick::gateway
--- a/src/reactor/connection.cc
+++ b/src/reactor/connection.cc
@@ -16,11 +16,11 @@
 using boost::system::error_code;
 
 constexpr size_t kReadBytes = 16384;
-constexpr int kReadsInARow = 4;  // of one connection before others get their turn
+constexpr int kMaxConsecutiveReads = 4;  // of one connection before others get their turn
 constexpr int kAcceptBacklog = 1024;
 // The shortest that the system knows: after so long without a byte, and between probes.
 constexpr int kProbeSeconds = 1;
-constexpr int kProbesUnanswered = 2;
+constexpr int kMaxUnansweredProbes = 2;
 
 // A reactor has one thread, so one buffer serves all its connections; handlers take what they need at once.
 std::array<char, kReadBytes>& sharedBuffer() {
@@ -35,12 +35,12 @@
 
 ConnectResult resultOf(const error_code& failure) {
   if (!failure) {
-    return ConnectResult::kUp;
+    return ConnectResult::kConnected;
   }
   return failure == asio::error::connection_refused ? ConnectResult::kRefused : ConnectResult::kFailed;
 }
 
-void prepare(tcp::socket& socket) {
+void configureSocket(tcp::socket& socket) {
   error_code ignored;
   socket.non_blocking(true, ignored);
   socket.set_option(tcp::no_delay(true), ignored);
@@ -61,7 +61,7 @@
     if (!connection->open_ || !callback) {
       return;
     }
-    prepare(connection->socket_);
+    configureSocket(connection->socket_);
     callback(resultOf(failure));
   });
   return connection;
@@ -69,7 +69,7 @@
 
 void Connection::start(ConnectionHandler* handler) {
   handler_ = handler;
-  prepare(socket_);
+  configureSocket(socket_);
   awaitReadable();
 }
 
@@ -78,7 +78,7 @@
   setOption(SOL_SOCKET, SO_KEEPALIVE, 1);
   setOption(IPPROTO_TCP, TCP_KEEPIDLE, kProbeSeconds);
   setOption(IPPROTO_TCP, TCP_KEEPINTVL, kProbeSeconds);
-  setOption(IPPROTO_TCP, TCP_KEEPCNT, kProbesUnanswered);
+  setOption(IPPROTO_TCP, TCP_KEEPCNT, kMaxUnansweredProbes);
 }
 
 void Connection::setOption(int level, int name, int value) {
@@ -99,7 +99,7 @@
 }
 
 void Connection::readAvailable() {
-  for (int count = 0; count < kReadsInARow && open_ && !paused_; ++count) {
+  for (int count = 0; count < kMaxConsecutiveReads && open_ && !paused_; ++count) {
     error_code error;
     const size_t size = socket_.read_some(asio::buffer(sharedBuffer()), error);
     if (isRetry(error)) {
--- a/src/reactor/connection.h
+++ b/src/reactor/connection.h
@@ -24,7 +24,7 @@
 
 // What came of a try to connect.
 enum class ConnectResult : uint8_t {
-  kUp,
+  kConnected,
   kRefused,  // the machine answers, and nothing listens there
   kFailed,   // nothing was heard, or the system gave up
 };
--- a/src/reactor/http_caller.cc
+++ b/src/reactor/http_client.cc
@@ -1,4 +1,4 @@
-#include "reactor/http_caller.h"
+#include "reactor/http_client.h"
 
 #include <absl/strings/str_cat.h>
 
@@ -8,21 +8,21 @@
 namespace {
 
 // A store's answer may hold many rows.
-constexpr MessageLimits kAnswerLimits = {16384, uint64_t{64} << 20};
+constexpr MessageLimits kResponseLimits = {16384, uint64_t{64} << 20};
 
 }  // namespace
 
-HttpCaller::~HttpCaller() {
+HttpClient::~HttpClient() {
   dropConnection();
-  timers_.cancel(time_limit_);
+  timers_.cancel(timeout_timer_);
 }
 
-void HttpCaller::call(HttpCall call, absl::Duration time_limit, Done done) {
+void HttpClient::call(HttpCall call, absl::Duration time_limit, Done done) {
   queue_.push_back({std::move(call), time_limit, std::move(done)});
   startNext();
 }
 
-void HttpCaller::startNext() {
+void HttpClient::startNext() {
   if (is_busy_ || queue_.empty()) {
     return;
   }
@@ -30,7 +30,7 @@
   is_sent_ = false;
   current_ = std::move(queue_.front());
   queue_.pop_front();
-  time_limit_ = timers_.schedule(steadyNow() + current_.time_limit, [this] {
+  timeout_timer_ = timers_.schedule(steadyNow() + current_.time_limit, [this] {
     finish(fail(ErrorCode::kDeadlineExceeded, "no answer in time",
                 is_sent_ ? Execution::kUnknown : Execution::kNotRun),
            false);
@@ -40,7 +40,7 @@
     return;
   }
   connection_ = Connection::connect(reactor_, address_, [this](ConnectResult result) {
-    if (result != ConnectResult::kUp) {
+    if (result != ConnectResult::kConnected) {
       finish(fail(ErrorCode::kUnavailable, "no connection"), false);
       return;
     }
@@ -50,8 +50,8 @@
   });
 }
 
-void HttpCaller::sendCurrent() {
-  reader_ = std::make_unique<MessageReader>(MessageKind::kAnswer, kAnswerLimits);
+void HttpClient::sendCurrent() {
+  reader_ = std::make_unique<MessageReader>(MessageKind::kResponse, kResponseLimits);
   HeaderFields fields = std::move(current_.call.fields);
   fields.push_back({"Host", absl::StrCat(address_.host, ":", address_.port)});
   if (!current_.call.body.empty()) {
@@ -62,7 +62,7 @@
                     current_.call.body);
 }
 
-void HttpCaller::onBytes(std::string_view bytes) {
+void HttpClient::onBytes(std::string_view bytes) {
   if (!is_busy_ || reader_ == nullptr) {
     dropConnection();  // bytes that answer nothing
     return;
@@ -70,26 +70,26 @@
   const ReadStatus status = reader_->take(bytes);
   if (status == ReadStatus::kDone) {
     const bool keep = reader_->keepsAlive() && reader_->unreadBytes() == 0;
-    finish(HttpReply{reader_->head(), reader_->takeBody()}, keep);
+    finish(HttpResponse{reader_->head(), reader_->takeBody()}, keep);
   } else if (status != ReadStatus::kNeedsMore) {
     finish(fail(ErrorCode::kOutcomeUnknown, "an answer that is none", Execution::kUnknown), false);
   }
 }
 
-void HttpCaller::onEnd(EndKind kind) {
+void HttpClient::onEnd(EndKind kind) {
   is_connected_ = false;
   if (!is_busy_) {
     return;
   }
   if (kind == EndKind::kOrderly && reader_ != nullptr && reader_->takeEnd() == ReadStatus::kDone) {
-    finish(HttpReply{reader_->head(), reader_->takeBody()}, false);
+    finish(HttpResponse{reader_->head(), reader_->takeBody()}, false);
     return;
   }
   finish(fail(ErrorCode::kOutcomeUnknown, "the connection ended", Execution::kUnknown), false);
 }
 
-void HttpCaller::finish(Result<HttpReply> result, bool keep_connection) {
-  timers_.cancel(time_limit_);
+void HttpClient::finish(Result<HttpResponse> result, bool keep_connection) {
+  timers_.cancel(timeout_timer_);
   if (!keep_connection) {
     dropConnection();
   }
@@ -100,7 +100,7 @@
   startNext();
 }
 
-void HttpCaller::dropConnection() {
+void HttpClient::dropConnection() {
   is_connected_ = false;
   if (connection_ != nullptr) {
     connection_->abort();
--- a/src/reactor/http_caller.h
+++ b/src/reactor/http_client.h
@@ -16,27 +16,27 @@
 
 namespace quincewick::reactor {
 
-struct HttpReply {
+struct HttpResponse {
   HttpHead head;
   std::string body;
 };
 
-class HttpCaller final : private ConnectionHandler {
+class HttpClient final : private ConnectionHandler {
  public:
   // Errors: kUnavailable (never sent), kOutcomeUnknown (sent, no whole answer), kDeadlineExceeded (the same,
   // in time).
-  using Done = std::function<void(Result<HttpReply>)>;
+  using Done = std::function<void(Result<HttpResponse>)>;
 
-  HttpCaller(boost::asio::io_context& reactor, TimerQueue& timers, Address address)
+  HttpClient(boost::asio::io_context& reactor, TimerQueue& timers, Address address)
       : reactor_(reactor), timers_(timers), address_(std::move(address)) {}
-  ~HttpCaller() override;
+  ~HttpClient() override;
 
   // Calls wait for the one under way; the time limit counts from when a call's turn comes.
   void call(HttpCall call, absl::Duration time_limit, Done done);
-  size_t waitingCalls() const { return queue_.size(); }
+  size_t queuedCalls() const { return queue_.size(); }
 
  private:
-  struct Waiting {
+  struct QueuedCall {
     HttpCall call;
     absl::Duration time_limit;
     Done done;
@@ -46,17 +46,17 @@
   void onEnd(EndKind kind) override;
   void startNext();
   void sendCurrent();
-  void finish(Result<HttpReply> result, bool keep_connection);
+  void finish(Result<HttpResponse> result, bool keep_connection);
   void dropConnection();
 
   boost::asio::io_context& reactor_;
   TimerQueue& timers_;
   Address address_;
-  std::deque<Waiting> queue_;
+  std::deque<QueuedCall> queue_;
   bool is_busy_ = false;
   bool is_sent_ = false;
-  Waiting current_;
-  TimerQueue::Key time_limit_;
+  QueuedCall current_;
+  TimerQueue::Key timeout_timer_;
   std::shared_ptr<Connection> connection_;
   bool is_connected_ = false;
   std::unique_ptr<MessageReader> reader_;
--- a/src/reactor/message_reader.cc
+++ b/src/reactor/message_reader.cc
@@ -90,7 +90,7 @@
   }
 
   Parser(MessageKind kind, const MessageLimits& limits) {
-    if (kind == MessageKind::kAnswer) {
+    if (kind == MessageKind::kResponse) {
       collector_.emplace<Collector<false>>();
     }
     visit([&limits](auto& collector) {
@@ -176,7 +176,7 @@
   return !unread_.empty() || parser_->visit([](auto& collector) { return collector.got_some(); });
 }
 
-bool MessageReader::lastsToEnd() const {
+bool MessageReader::bodyEndsAtClose() const {
   return parser_->visit([](auto& collector) { return collector.head_complete && collector.need_eof(); });
 }
 
--- a/src/reactor/message_reader.h
+++ b/src/reactor/message_reader.h
@@ -11,7 +11,7 @@
 
 namespace quincewick::reactor {
 
-enum class MessageKind : uint8_t { kRequest, kAnswer };
+enum class MessageKind : uint8_t { kRequest, kResponse };
 
 // What one message may take, in bytes.
 struct MessageLimits {
@@ -51,7 +51,7 @@
   // Whether any byte of the current message has come.
   bool started() const;
   // Whether the body's length is told neither by a length nor by chunks.
-  bool lastsToEnd() const;
+  bool bodyEndsAtClose() const;
   // The length that the head tells; nothing for chunked bodies and those that last to the end.
   std::optional<uint64_t> contentLength() const;
   // Whether the message lets the connection be used again.
--- a/src/telemetry/event_lines.cc
+++ b/src/telemetry/event_lines.cc
@@ -10,17 +10,17 @@
 // Takes a quoted value from behind its first quote; false where it does not end.
 bool takeQuoted(std::string_view& rest, std::string& value) {
   while (!rest.empty()) {
-    const char sign = rest.front();
+    const char character = rest.front();
     rest.remove_prefix(1);
-    if (sign == '"') {
+    if (character == '"') {
       return true;
     }
-    if (sign == '\\' && !rest.empty()) {
+    if (character == '\\' && !rest.empty()) {
       value += rest.front();
       rest.remove_prefix(1);
       continue;
     }
-    value += sign;
+    value += character;
   }
   return false;
 }
@@ -50,8 +50,8 @@
 uint64_t timeOf(const EventLine& line) {
   const std::string text = line.value("time_ms");
   uint64_t time = 0;
-  for (const char sign : text) {
-    time = sign >= '0' && sign <= '9' ? time * 10 + static_cast<uint64_t>(sign - '0') : time;
+  for (const char character : text) {
+    time = character >= '0' && character <= '9' ? time * 10 + static_cast<uint64_t>(character - '0') : time;
   }
   return time;
 }
--- a/src/telemetry/event_log.cc
+++ b/src/telemetry/event_log.cc
@@ -12,18 +12,19 @@
 
 // A value with blanks, quotes or line breaks is quoted, so that each line reads back.
 std::string quoted(std::string_view value) {
-  const bool plain = !value.empty() && std::none_of(value.begin(), value.end(), [](char sign) {
-    return sign == ' ' || sign == '"' || sign == '=' || static_cast<unsigned char>(sign) < 0x20;
+  const bool plain = !value.empty() && std::none_of(value.begin(), value.end(), [](char character) {
+    return character == ' ' || character == '"' || character == '=' ||
+           static_cast<unsigned char>(character) < 0x20;
   });
   if (plain) {
     return std::string(value);
   }
   std::string out = "\"";
-  for (const char sign : value) {
-    if (sign == '"' || sign == '\\') {
+  for (const char character : value) {
+    if (character == '"' || character == '\\') {
       out += '\\';
     }
-    out += static_cast<unsigned char>(sign) < 0x20 ? ' ' : sign;
+    out += static_cast<unsigned char>(character) < 0x20 ? ' ' : character;
   }
   return out + "\"";
 }
@@ -39,16 +40,16 @@
 
 EventLog::Line EventLog::event(std::string_view name, absl::Time now) {
   Rate& rate = rates_[std::string(name)];
-  if (now - rate.second_began >= absl::Seconds(1)) {
+  if (now - rate.second_start >= absl::Seconds(1)) {
     const uint32_t dropped = std::exchange(rate.dropped, 0);
-    rate.second_began = now;
+    rate.second_start = now;
     rate.lines = 0;
     if (dropped > 0) {
       append(absl::StrCat("event=dropped node=", settings_.node, " of=", std::string(name),
                           " lines=", dropped, "\n"));
     }
   }
-  if (rate.lines >= settings_.lines_a_second) {
+  if (rate.lines >= settings_.max_lines_per_second) {
     ++rate.dropped;
     ++dropped_;
     return {nullptr, std::string()};
--- a/src/telemetry/event_log.h
+++ b/src/telemetry/event_log.h
@@ -17,7 +17,7 @@
 struct EventLogSettings {
   std::string node;
   size_t buffer_bytes = 65536;
-  uint32_t lines_a_second = 50;                        // of one event's name
+  uint32_t max_lines_per_second = 50;                  // of one event's name
   std::function<absl::Time()> wall_clock = absl::Now;  // orders lines of several processes
 };
 
@@ -54,7 +54,7 @@
 
  private:
   struct Rate {
-    absl::Time second_began = absl::InfinitePast();
+    absl::Time second_start = absl::InfinitePast();
     uint32_t lines = 0;
     uint32_t dropped = 0;
   };
--- a/tests/platform_dialect/platform_dialect_test.cc
+++ b/tests/platform_dialect/platform_dialect_test.cc
@@ -242,23 +242,23 @@
   const std::vector<std::string> described = {"Quincewick-Attempt-Id", "Quincewick-Model",
                                               "Quincewick-Token-Usage", "Quincewick-Prompt-Prefix",
                                               "Quincewick-Length-Hint"};
-  const std::vector<std::string> set_by_us = {"Quincewick-Deadline-Ms",
-                                              "Quincewick-Tenant",
-                                              "Quincewick-Target-Instance",
-                                              "Quincewick-Cache-Salt",
-                                              "Quincewick-Kv-Source",
-                                              "Quincewick-Request-Priority",
-                                              "Quincewick-Kv-Target",
-                                              "Quincewick-Kv-Backup",
-                                              "Quincewick-Pin-Ms",
-                                              "Quincewick-Expected-Version",
-                                              "Quincewick-Hold",
-                                              "Quincewick-Not-Executed",
-                                              "Quincewick-Instance-Id",
-                                              "Quincewick-Weight-Versions",
-                                              "Quincewick-Some-New-Field",
-                                              "Kv-From",
-                                              "Authorization"};
+  const std::vector<std::string> set_by_system = {"Quincewick-Deadline-Ms",
+                                                  "Quincewick-Tenant",
+                                                  "Quincewick-Target-Instance",
+                                                  "Quincewick-Cache-Salt",
+                                                  "Quincewick-Kv-Source",
+                                                  "Quincewick-Request-Priority",
+                                                  "Quincewick-Kv-Target",
+                                                  "Quincewick-Kv-Backup",
+                                                  "Quincewick-Pin-Ms",
+                                                  "Quincewick-Expected-Version",
+                                                  "Quincewick-Hold",
+                                                  "Quincewick-Not-Executed",
+                                                  "Quincewick-Instance-Id",
+                                                  "Quincewick-Weight-Versions",
+                                                  "Quincewick-Some-New-Field",
+                                                  "Kv-From",
+                                                  "Authorization"};
   const auto passes = [](const std::string& name) {
     HttpHead head;
     head.fields = {{name, "a"}, {"X-Other", "b"}, {name, "c"}};
@@ -272,7 +272,7 @@
     CHECK(passes(name) == 2);
     CHECK(passes(absl::AsciiStrToLower(name)) == 2);
   }
-  for (const std::string& name : set_by_us) {
+  for (const std::string& name : set_by_system) {
     CAPTURE(name);
     CHECK(passes(name) == 0);
     CHECK(passes(absl::AsciiStrToLower(name)) == 0);
--- a/tests/platform_dialect/server_codec_test.cc
+++ b/tests/platform_dialect/server_codec_test.cc
@@ -13,7 +13,7 @@
 
 using Json = nlohmann::json;
 
-Json soundEntry() {
+Json validEntry() {
   return {{"service", "pool"},
           {"address", "10.0.0.1:80"},
           {"zone", "z"},
@@ -27,14 +27,14 @@
 }
 
 // What no field of an entry may be, each of another type or out of range.
-const std::vector<Json> kNonsense = {nullptr, true, -1, "", Json::array({1}), Json::object({{"a", 1}})};
+const std::vector<Json> kInvalidValues = {nullptr, true, -1, "", Json::array({1}), Json::object({{"a", 1}})};
 
 bool isRefused(const Json& entry) {
   return serverFrom("i-1", entry.dump()).has_error();
 }
 
 TEST_CASE("a sound entry tells its start") {
-  const auto entry = serverFrom("i-1", soundEntry().dump());
+  const auto entry = serverFrom("i-1", validEntry().dump());
   REQUIRE(entry.has_value());
   CHECK(entry.value().started == absl::FromUnixMillis(1'764'700'000'123));
   CHECK(entry.value().slots == 6);
@@ -42,7 +42,7 @@
 }
 
 TEST_CASE("an entry that tells no start, or nothing that routing does without, can be used") {
-  Json entry = soundEntry();
+  Json entry = validEntry();
   for (const char* name : {"born", "models", "version", "coldRemainingMs", "sequence"}) {
     entry.erase(name);
   }
@@ -53,7 +53,7 @@
 
 TEST_CASE("an entry that lacks what routing needs names no server") {
   for (const char* name : {"service", "address", "zone", "slots", "state"}) {
-    Json entry = soundEntry();
+    Json entry = validEntry();
     entry.erase(name);
     INFO(name);
     CHECK(isRefused(entry));
@@ -62,15 +62,15 @@
 
 TEST_CASE("a field of another type refuses its entry") {
   for (const char* name : {"service", "address", "zone", "slots", "state"}) {
-    for (const Json& value : kNonsense) {
-      Json entry = soundEntry();
+    for (const Json& value : kInvalidValues) {
+      Json entry = validEntry();
       entry[name] = value;
       INFO(entry.dump());
       CHECK(isRefused(entry));
     }
   }
   for (const char* name : {"born", "coldRemainingMs", "sequence"}) {
-    Json entry = soundEntry();
+    Json entry = validEntry();
     entry[name] = "7";
     INFO(entry.dump());
     CHECK(isRefused(entry));
@@ -79,7 +79,7 @@
 
 TEST_CASE("a state that isn't named, slots and starts out of range") {
   const auto with = [](const char* name, const Json& value) {
-    Json entry = soundEntry();
+    Json entry = validEntry();
     entry[name] = value;
     return entry;
   };
@@ -99,7 +99,7 @@
 
 TEST_CASE("bytes that can't be read are refused, cut anywhere or changed anywhere") {
   CHECK(rc::check([] {
-    std::string bytes = soundEntry().dump();
+    std::string bytes = validEntry().dump();
     if (*rc::gen::arbitrary<bool>()) {
       bytes.resize(*rc::gen::inRange<size_t>(0, bytes.size()));
       RC_ASSERT(serverFrom("i-1", bytes).has_error());
--- a/tests/reactor/connection_test.cc
+++ b/tests/reactor/connection_test.cc
@@ -12,7 +12,7 @@
 
 using boost::asio::ip::tcp;
 
-int optionOf(int descriptor, int level, int name) {
+int socketOption(int descriptor, int level, int name) {
   int value = -1;
   socklen_t size = sizeof(value);
   getsockopt(descriptor, level, name, &value, &size);
@@ -28,13 +28,13 @@
   socket.connect(acceptor.local_endpoint());
   const int descriptor = socket.native_handle();
   Connection connection(std::move(socket));
-  CHECK(optionOf(descriptor, SOL_SOCKET, SO_KEEPALIVE) == 0);
+  CHECK(socketOption(descriptor, SOL_SOCKET, SO_KEEPALIVE) == 0);
   connection.dropWhenPeerIsSilent(absl::Seconds(1));
-  CHECK(optionOf(descriptor, SOL_SOCKET, SO_KEEPALIVE) == 1);
-  CHECK(optionOf(descriptor, IPPROTO_TCP, TCP_KEEPIDLE) == 1);
-  CHECK(optionOf(descriptor, IPPROTO_TCP, TCP_KEEPINTVL) == 1);
-  CHECK(optionOf(descriptor, IPPROTO_TCP, TCP_KEEPCNT) == 2);
-  CHECK(optionOf(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT) == 1000);
+  CHECK(socketOption(descriptor, SOL_SOCKET, SO_KEEPALIVE) == 1);
+  CHECK(socketOption(descriptor, IPPROTO_TCP, TCP_KEEPIDLE) == 1);
+  CHECK(socketOption(descriptor, IPPROTO_TCP, TCP_KEEPINTVL) == 1);
+  CHECK(socketOption(descriptor, IPPROTO_TCP, TCP_KEEPCNT) == 2);
+  CHECK(socketOption(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT) == 1000);
 }
 
 }  // namespace
--- a/tests/reactor/message_reader_test.cc
+++ b/tests/reactor/message_reader_test.cc
@@ -59,17 +59,17 @@
 }
 
 TEST_CASE("an answer without a length is whole only when its connection ends in good order") {
-  MessageReader reader(MessageKind::kAnswer, {});
+  MessageReader reader(MessageKind::kResponse, {});
   CHECK(reader.take("HTTP/1.1 200 OK\r\n\r\nabc") == ReadStatus::kNeedsMore);
-  CHECK(reader.lastsToEnd());
+  CHECK(reader.bodyEndsAtClose());
   CHECK(reader.takeEnd() == ReadStatus::kDone);
-  MessageReader cut(MessageKind::kAnswer, {});
+  MessageReader cut(MessageKind::kResponse, {});
   cut.take("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc");
   CHECK(cut.takeEnd() == ReadStatus::kMalformed);
 }
 
 TEST_CASE("the answer to HEAD has no body, whatever its length says") {
-  MessageReader reader(MessageKind::kAnswer, {});
+  MessageReader reader(MessageKind::kResponse, {});
   reader.next(true);
   CHECK(reader.take("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n") == ReadStatus::kDone);
 }
--- a/tests/soak/callers.cc
+++ b/tests/soak/callers.cc
@@ -47,9 +47,9 @@
 void Entry::poll(size_t gateway) {
   Gateway& asked = gateways_[gateway];
   asked.caller =
-      std::make_unique<reactor::HttpCaller>(reactor_, timers_, processes_.place(gateway).readiness);
+      std::make_unique<reactor::HttpClient>(reactor_, timers_, processes_.place(gateway).readiness);
   asked.caller->call({"GET", "/ready", {{"Host", "h"}}, ""}, kPollInterval,
-                     [this, gateway](const Result<reactor::HttpReply>& reply) {
+                     [this, gateway](const Result<reactor::HttpResponse>& reply) {
                        Gateway& answered = gateways_[gateway];
                        const bool is_ready = reply.has_value() && reply.value().head.status == kOk;
                        answered.misses = is_ready ? 0 : answered.misses + 1;
@@ -73,7 +73,7 @@
 class Caller::Talk final : public reactor::ConnectionHandler, public std::enable_shared_from_this<Talk> {
  public:
   Talk(Caller& caller, size_t gateway)
-      : caller_(caller), gateway_(gateway), reader_(reactor::MessageKind::kAnswer, {}) {}
+      : caller_(caller), gateway_(gateway), reader_(reactor::MessageKind::kResponse, {}) {}
 
   bool isUsable() const { return connection_ != nullptr && connection_->isOpen() && keeps_open_; }
   size_t gateway() const { return gateway_; }
@@ -92,7 +92,7 @@
     }
     connection_ = reactor::Connection::connect(caller_.reactor_, caller_.processes_.place(gateway_).callers,
                                                [self](reactor::ConnectResult result) {
-                                                 if (result == reactor::ConnectResult::kUp) {
+                                                 if (result == reactor::ConnectResult::kConnected) {
                                                    self->connection_->start(self.get());
                                                    self->send();
                                                  } else {
@@ -137,7 +137,7 @@
     }
     takeBody(reader_.takeBody());
     if (reader_.status() == reactor::ReadStatus::kDone) {
-      keeps_open_ = reader_.keepsAlive() && !reader_.lastsToEnd();
+      keeps_open_ = reader_.keepsAlive() && !reader_.bodyEndsAtClose();
       finish(RequestEnd::kAnswered);
     }
   }
--- a/tests/soak/callers.h
+++ b/tests/soak/callers.h
@@ -14,7 +14,7 @@
 
 #include "history.h"
 #include "processes.h"
-#include "reactor/http_caller.h"
+#include "reactor/http_client.h"
 #include "reactor/timer_queue.h"
 
 namespace quincewick::soak {
@@ -28,7 +28,7 @@
 
  private:
   struct Gateway {
-    std::unique_ptr<reactor::HttpCaller> caller;
+    std::unique_ptr<reactor::HttpClient> caller;
     int misses = 0;
     bool is_in = false;
   };
--- a/tests/soak/engines.cc
+++ b/tests/soak/engines.cc
@@ -15,7 +15,7 @@
 constexpr const char* kModel = "m";
 constexpr const char* kInstanceId = "Quincewick-Instance-Id";
 
-reactor::PlainAnswer status(int status) {
+reactor::SimpleHttpResponse status(int status) {
   return {status, "application/json", "{}"};
 }
 
@@ -34,8 +34,8 @@
         started_(absl::Now()),
         server_(reactor, Address{"127.0.0.1", 0}, kConnectionsAtMost,
                 [this](const HttpHead& question, const std::string& body,
-                       const reactor::PlainServer::Respond& respond) {
-                  reactor::PlainAnswer answer = take(question, body);
+                       const reactor::SimpleHttpServer::Respond& respond) {
+                  reactor::SimpleHttpResponse answer = take(question, body);
                   answer.further_fields.push_back({kInstanceId, id_});
                   respond(answer);
                 }) {
@@ -43,7 +43,7 @@
   }
 
  private:
-  reactor::PlainAnswer take(const HttpHead& question, const std::string& body) {
+  reactor::SimpleHttpResponse take(const HttpHead& question, const std::string& body) {
     if (question.target == "/v1/order" && question.method == "POST") {
       return takeOrder(question, body);
     }
@@ -53,7 +53,7 @@
     return status(question.target.starts_with("/health") ? 200 : 404);
   }
 
-  reactor::PlainAnswer takeOrder(const HttpHead& question, const std::string& body) {
+  reactor::SimpleHttpResponse takeOrder(const HttpHead& question, const std::string& body) {
     constexpr bool allow_exceptions = false;
     const nlohmann::json order = nlohmann::json::parse(body, nullptr, allow_exceptions);
     const bool is_whole = order.is_object() && order.value("operation", "") == "version" &&
@@ -124,7 +124,7 @@
   uint64_t orders_taken_ = 0;
   uint64_t writes_ = 0;  // of its entry
   bool is_loading_ = false;
-  reactor::PlainServer server_;
+  reactor::SimpleHttpServer server_;
 };
 
 Engines::Engines(boost::asio::io_context& reactor, reactor::TimerQueue& timers, History& history,
--- a/tests/soak/engines.h
+++ b/tests/soak/engines.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "history.h"
-#include "reactor/plain_server.h"
+#include "reactor/simple_http_server.h"
 #include "reactor/timer_queue.h"
 #include "store.h"
 
--- a/tests/soak/store.cc
+++ b/tests/soak/store.cc
@@ -34,7 +34,7 @@
   return absl::SimpleAtoi(text, &value) ? value : 0;
 }
 
-reactor::PlainAnswer json(std::string body) {
+reactor::SimpleHttpResponse json(std::string body) {
   return {200, "application/json", std::move(body)};
 }
 
@@ -44,11 +44,11 @@
              Rendered rendered, bool tells_era)
     : timers_(timers), rendered_(std::move(rendered)), troubles_(gateways), tells_era_(tells_era) {
   for (size_t gateway = 0; gateway < gateways; ++gateway) {
-    doors_.push_back(std::make_unique<reactor::PlainServer>(
+    doors_.push_back(std::make_unique<reactor::SimpleHttpServer>(
         reactor, Address{"127.0.0.1", 0}, kConnectionsAtMost,
         [this, gateway](const HttpHead& question, const std::string& body,
-                        const reactor::PlainServer::Respond& respond) {
-          take(gateway, question, body, [this, respond](reactor::PlainAnswer answer) {
+                        const reactor::SimpleHttpServer::Respond& respond) {
+          take(gateway, question, body, [this, respond](reactor::SimpleHttpResponse answer) {
             if (tells_era_) {
               answer.further_fields.push_back({kEra, absl::StrCat(era_)});
             }
@@ -121,7 +121,7 @@
 }
 
 void Store::take(size_t gateway, const HttpHead& question, const std::string& body,
-                 const reactor::PlainServer::Respond& respond) {
+                 const reactor::SimpleHttpServer::Respond& respond) {
   const StoreTrouble& trouble = troubles_[gateway];
   if (trouble.is_silent) {
     return;
@@ -136,13 +136,13 @@
 }
 
 void Store::answer(size_t gateway, const HttpHead& question, const std::string& body,
-                   const reactor::PlainServer::Respond& respond) {
+                   const reactor::SimpleHttpServer::Respond& respond) {
   if (question.target.starts_with("/v1/rows-feed")) {
     follow(gateway, question.target, respond);
   } else if (question.target.starts_with("/v1/rows-get")) {
     respond(readRows(gateway, question.target));
   } else {
-    const reactor::PlainAnswer written = write(body);
+    const reactor::SimpleHttpResponse written = write(body);
     if (!troubles_[gateway].loses_answers) {
       respond(written);
     }
@@ -162,7 +162,7 @@
                       row.is_gone ? R"(,"gone":true})" : "}");
 }
 
-reactor::PlainAnswer Store::readRows(size_t gateway, const std::string& target) const {
+reactor::SimpleHttpResponse Store::readRows(size_t gateway, const std::string& target) const {
   const std::string table = parameter(target, "table");
   const std::string from = parameter(target, "from");
   std::string rows;
@@ -176,7 +176,7 @@
   return json(absl::StrCat(R"({"rows":[)", rows, R"(],"more":false,)", tail()));
 }
 
-reactor::PlainAnswer Store::changes(size_t gateway, const std::string& table, uint64_t after) const {
+reactor::SimpleHttpResponse Store::changes(size_t gateway, const std::string& table, uint64_t after) const {
   if (isGone(after)) {
     return {410, "text/plain", ""};
   }
@@ -191,7 +191,8 @@
   return json(absl::StrCat(R"({"rows":[)", rows, "],", tail()));
 }
 
-void Store::follow(size_t gateway, const std::string& target, const reactor::PlainServer::Respond& respond) {
+void Store::follow(size_t gateway, const std::string& target,
+                   const reactor::SimpleHttpServer::Respond& respond) {
   const std::string table = parameter(target, "table");
   const uint64_t after = number(parameter(target, "after"));
   bool is_news = isGone(after);
@@ -211,7 +212,7 @@
   });
 }
 
-reactor::PlainAnswer Store::write(const std::string& body) {
+reactor::SimpleHttpResponse Store::write(const std::string& body) {
   const nlohmann::json transaction = nlohmann::json::parse(body);
   for (const auto& condition : transaction["expectedRevision"]) {
     const auto& rows = tables_[condition["table"]];
--- a/tests/soak/store.h
+++ b/tests/soak/store.h
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "reactor/plain_server.h"
+#include "reactor/simple_http_server.h"
 #include "reactor/timer_queue.h"
 
 namespace quincewick::soak {
@@ -64,18 +64,18 @@
     size_t gateway = 0;
     std::string table;
     uint64_t after = 0;
-    reactor::PlainServer::Respond respond;
+    reactor::SimpleHttpServer::Respond respond;
     reactor::TimerQueue::Key limit;
   };
 
   void take(size_t gateway, const HttpHead& question, const std::string& body,
-            const reactor::PlainServer::Respond& respond);
+            const reactor::SimpleHttpServer::Respond& respond);
   void answer(size_t gateway, const HttpHead& question, const std::string& body,
-              const reactor::PlainServer::Respond& respond);
-  reactor::PlainAnswer readRows(size_t gateway, const std::string& target) const;
-  reactor::PlainAnswer write(const std::string& body);
-  void follow(size_t gateway, const std::string& target, const reactor::PlainServer::Respond& respond);
-  reactor::PlainAnswer changes(size_t gateway, const std::string& table, uint64_t after) const;
+              const reactor::SimpleHttpServer::Respond& respond);
+  reactor::SimpleHttpResponse readRows(size_t gateway, const std::string& target) const;
+  reactor::SimpleHttpResponse write(const std::string& body);
+  void follow(size_t gateway, const std::string& target, const reactor::SimpleHttpServer::Respond& respond);
+  reactor::SimpleHttpResponse changes(size_t gateway, const std::string& table, uint64_t after) const;
   std::string printRow(size_t gateway, const std::string& table, const std::string& key,
                        const Row& row) const;
   void change(const std::string& table, const std::string& key, const std::string& value, bool is_gone);
@@ -86,7 +86,7 @@
 
   reactor::TimerQueue& timers_;
   Rendered rendered_;
-  std::vector<std::unique_ptr<reactor::PlainServer>> doors_;
+  std::vector<std::unique_ptr<reactor::SimpleHttpServer>> doors_;
   std::vector<StoreTrouble> troubles_;
   Tables tables_;
   uint64_t version_ = 1;
--- a/tests/soak/store_test.cc
+++ b/tests/soak/store_test.cc
@@ -7,7 +7,7 @@
 #include <catch2/catch.hpp>
 #include <nlohmann/json.hpp>
 
-#include "reactor/http_caller.h"
+#include "reactor/http_client.h"
 
 namespace quincewick::soak {
 namespace {
@@ -16,7 +16,7 @@
   boost::asio::io_context reactor;
   reactor::TimerQueue timers{reactor};
   Store store;
-  reactor::HttpCaller gateway;
+  reactor::HttpClient gateway;
 
   explicit Site(bool tells_era = true)
       : store(
@@ -26,10 +26,10 @@
             tells_era),
         gateway(reactor, timers, store.addressFor(0)) {}
 
-  reactor::HttpReply ask(const HttpCall& call) {
-    std::optional<reactor::HttpReply> reply;
+  reactor::HttpResponse ask(const HttpCall& call) {
+    std::optional<reactor::HttpResponse> reply;
     gateway.call(call, absl::Seconds(5),
-                 [&reply](const Result<reactor::HttpReply>& given) { reply = given.value(); });
+                 [&reply](const Result<reactor::HttpResponse>& given) { reply = given.value(); });
     while (!reply) {
       reactor.run_one();
     }
@@ -48,7 +48,7 @@
     return ask({"POST", "/v1/rows-tx", {}, transaction.dump()}).head.status;
   }
   std::string era() {
-    const reactor::HttpReply reply = ask({"GET", "/v1/rows-get?table=own", {}, ""});
+    const reactor::HttpResponse reply = ask({"GET", "/v1/rows-get?table=own", {}, ""});
     const std::string* const field = findField(reply.head.fields, "Store-Era");
     return field == nullptr ? "" : *field;
   }
--- a/tests/streams/answer_stream_test.cc
+++ b/tests/streams/answer_stream_test.cc
@@ -27,9 +27,9 @@
 }
 
 // Engines that give the same answer, a network that loses, repeats and reorders, and a caller who checks.
-class World {
+class StreamHarness {
  public:
-  World(uint64_t answer_size, const AnswerOptions& options)
+  StreamHarness(uint64_t answer_size, const AnswerOptions& options)
       : answer_size_(answer_size), options_(options), stream_(options) {
     feed(RequestOpened{});
   }
@@ -248,13 +248,13 @@
     AnswerOptions options;
     options.unsent_limit_bytes = *rc::gen::inRange<uint64_t>(1, 40);
     options.backlog_limit_bytes = *rc::gen::inRange<uint64_t>(1, 80);
-    World world(*rc::gen::inRange<uint64_t>(0, 30), options);
+    StreamHarness harness(*rc::gen::inRange<uint64_t>(0, 30), options);
     for (const Step& step : anySchedule()) {
-      world.step(step);
+      harness.step(step);
     }
-    world.settle();
-    RC_ASSERT(world.ended() || world.cut());
-    RC_ASSERT(world.running() == 0);
+    harness.settle();
+    RC_ASSERT(harness.ended() || harness.cut());
+    RC_ASSERT(harness.running() == 0);
   });
 }
 
@@ -266,13 +266,13 @@
     options.maximum_reconnects = 10000;
     options.unsent_limit_bytes = *rc::gen::inRange<uint64_t>(1, 40);
     options.backlog_limit_bytes = *rc::gen::inRange<uint64_t>(1, 80);
-    World world(*rc::gen::inRange<uint64_t>(0, 30), options);
+    StreamHarness harness(*rc::gen::inRange<uint64_t>(0, 30), options);
     for (const Step& step : anySchedule()) {
-      world.step(step);
+      harness.step(step);
     }
-    world.settle();
-    RC_ASSERT(world.ended());
-    RC_ASSERT(world.running() == 0);
+    harness.settle();
+    RC_ASSERT(harness.ended());
+    RC_ASSERT(harness.running() == 0);
   });
 }
 
--- a/tests/telemetry/event_log_test.cc
+++ b/tests/telemetry/event_log_test.cc
@@ -12,8 +12,8 @@
 const absl::Time kNow = absl::UnixEpoch() + absl::Seconds(5);
 
 // Settings of a log whose wall clock stands still.
-EventLogSettings settings(size_t buffer_bytes = 65536, uint32_t lines_a_second = 50) {
-  return {"n1", buffer_bytes, lines_a_second, [] { return absl::UnixEpoch() + absl::Seconds(9); }};
+EventLogSettings settings(size_t buffer_bytes = 65536, uint32_t max_lines_per_second = 50) {
+  return {"n1", buffer_bytes, max_lines_per_second, [] { return absl::UnixEpoch() + absl::Seconds(9); }};
 }
 
 TEST_CASE("a line has its event, its node, its time and its fields") {
