--- a/src/reactor/connection.cc
+++ b/src/reactor/connection.cc
@@ -16,13 +16,13 @@
 using boost::system::error_code;
 
 constexpr size_t kReadBytes = 16384;
-constexpr int kMaxConsecutiveReads = 4;  // of one connection before others get their turn
+constexpr int kMaxConsecutiveReads = 4;  // on one connection before others get their turn
 constexpr int kAcceptBacklog = 1024;
-// The shortest that the system knows: after so long without a byte, and between probes.
+// Idle time before the first keep-alive probe and interval between probes; the system's minimum.
 constexpr int kProbeSeconds = 1;
 constexpr int kMaxUnansweredProbes = 2;
 
-// A reactor has one thread, so one buffer serves all its connections; handlers take what they need at once.
+// A reactor has one thread, so one buffer serves all its connections; handlers must copy what they keep.
 std::array<char, kReadBytes>& sharedBuffer() {
   thread_local std::array<char, kReadBytes> buffer;
   return buffer;
@@ -148,7 +148,7 @@
   });
 }
 
-// An error in writing is left to the reading side, which first takes in what the other side said before.
+// A write error is left to the reading side, which first reads what the peer sent before the failure.
 void Connection::writeAvailable() {
   while (unsentBytes() > 0) {
     error_code error;
--- a/src/reactor/connection.h
+++ b/src/reactor/connection.h
@@ -1,5 +1,5 @@
-// One TCP connection on the reactor: reads without blocking, keeps what could not be written yet, and tells
-// its one handler. A handler that closes the connection hears nothing more of it.
+// A non-blocking TCP connection on the reactor with a buffer of unsent bytes and one handler. After a handler
+// has closed the connection, it gets no further calls.
 #pragma once
 
 #include <absl/time/time.h>
@@ -16,17 +16,17 @@
 
 namespace quincewick::reactor {
 
-// How the other side ended a connection.
+// How a connection ended.
 enum class EndKind : uint8_t {
-  kOrderly,  // it closed: all its bytes have come
-  kBroken,   // reset, or given up by the system
+  kOrderly,  // the peer closed it: all its bytes were received
+  kBroken,   // reset by the peer, or timed out
 };
 
-// What came of a try to connect.
+// Outcome of a connection attempt.
 enum class ConnectResult : uint8_t {
   kConnected,
-  kRefused,  // the machine answers, and nothing listens there
-  kFailed,   // nothing was heard, or the system gave up
+  kRefused,  // the machine is up, but nothing listens on the port
+  kFailed,   // no response, or another system error
 };
 
 class ConnectionHandler {
@@ -38,7 +38,7 @@
 
   virtual void onBytes(std::string_view bytes) = 0;
   virtual void onEnd(EndKind kind) = 0;
-  // All that was sent has gone to the system.
+  // All sent bytes were handed to the kernel.
   virtual void onSent() {}
 };
 
@@ -50,16 +50,16 @@
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
-  // Connects to the address; the callback hears once what came of it. `abort` ends the try unheard.
+  // Connects to the address and calls `done` once with the outcome. After `abort`, `done` isn't called.
   using Connected = std::function<void(ConnectResult result)>;
   static std::shared_ptr<Connection> connect(boost::asio::io_context& reactor, const Address& address,
                                              Connected done);
 
-  // Begins to read. The handler outlives the connection or detaches by `close`.
+  // Starts reading. The handler must outlive the connection or detach with `abort` or `closeWhenSent`.
   void start(ConnectionHandler* handler);
-  // Breaks the connection when the other side is silent: it acknowledges neither what was sent, for so long,
-  // nor, while nothing is under way, a probe that goes out after a second of rest. A machine without power or
-  // behind a cut says nothing; one that only takes its time acknowledges.
+  // Breaks the connection when the peer leaves sent data unacknowledged for `timeout` or, on an idle
+  // connection, doesn't acknowledge keep-alive probes, which start after 1 s. A peer that lost power or is
+  // behind a network partition acknowledges nothing; a slow one still does.
   void dropWhenPeerIsSilent(absl::Duration timeout);
 
   void send(std::string_view bytes);
@@ -69,9 +69,9 @@
   void pauseReading() { paused_ = true; }
   void resumeReading();
 
-  // Sends what is left, ends the sending side, and takes in what still comes for a short while.
+  // Sends what is left, shuts down the sending side, and reads and discards input until the peer closes.
   void closeWhenSent();
-  // Closes at once; what is unsent or unread is lost and the other side sees a reset.
+  // Closes at once with a reset; unsent and unread bytes are lost.
   void abort();
 
  private:
@@ -92,19 +92,19 @@
   size_t unsent_begin_ = 0;
   bool open_ = true;
   bool paused_ = false;
-  bool reading_ = false;    // a wait for input is under way
-  bool writing_ = false;    // a wait for room is under way
-  bool lingering_ = false;  // only the end of the other side is awaited
+  bool reading_ = false;    // a wait for readability is pending
+  bool writing_ = false;    // a wait for writability is pending
+  bool lingering_ = false;  // discards input until the peer closes
 };
 
-// Takes connections at an address and hands them on. Errors: kUnavailable.
+// Accepts connections at an address. If the address can't be bound, isListening() is false.
 class Listener {
  public:
   using Accepted = std::function<void(Connection::Socket)>;
 
   Listener(boost::asio::io_context& reactor, const Address& address, Accepted accepted);
-  // The port in use; nothing if the address could not be bound.
   bool isListening() const { return acceptor_.is_open(); }
+  // The bound port; 0 if not listening.
   uint16_t port() const;
   void close();
 
--- a/src/reactor/http_client.cc
+++ b/src/reactor/http_client.cc
@@ -7,7 +7,7 @@
 namespace quincewick::reactor {
 namespace {
 
-// A store's answer may hold many rows.
+// A response of the store may hold many rows.
 constexpr MessageLimits kResponseLimits = {16384, uint64_t{64} << 20};
 
 }  // namespace
@@ -31,7 +31,7 @@
   current_ = std::move(queue_.front());
   queue_.pop_front();
   timeout_timer_ = timers_.schedule(steadyNow() + current_.time_limit, [this] {
-    finish(fail(ErrorCode::kDeadlineExceeded, "no answer in time",
+    finish(fail(ErrorCode::kDeadlineExceeded, "no response in time",
                 is_sent_ ? Execution::kUnknown : Execution::kNotRun),
            false);
   });
@@ -64,7 +64,7 @@
 
 void HttpClient::onBytes(std::string_view bytes) {
   if (!is_busy_ || reader_ == nullptr) {
-    dropConnection();  // bytes that answer nothing
+    dropConnection();  // bytes that belong to no request
     return;
   }
   const ReadStatus status = reader_->take(bytes);
@@ -72,7 +72,7 @@
     const bool keep = reader_->keepsAlive() && reader_->unreadBytes() == 0;
     finish(HttpResponse{reader_->head(), reader_->takeBody()}, keep);
   } else if (status != ReadStatus::kNeedsMore) {
-    finish(fail(ErrorCode::kOutcomeUnknown, "an answer that is none", Execution::kUnknown), false);
+    finish(fail(ErrorCode::kOutcomeUnknown, "malformed response", Execution::kUnknown), false);
   }
 }
 
@@ -85,7 +85,9 @@
     finish(HttpResponse{reader_->head(), reader_->takeBody()}, false);
     return;
   }
-  finish(fail(ErrorCode::kOutcomeUnknown, "the connection ended", Execution::kUnknown), false);
+  finish(fail(ErrorCode::kOutcomeUnknown, "the connection closed before the response was complete",
+              Execution::kUnknown),
+         false);
 }
 
 void HttpClient::finish(Result<HttpResponse> result, bool keep_connection) {
--- a/src/reactor/http_client.h
+++ b/src/reactor/http_client.h
@@ -1,4 +1,4 @@
-// Calls of one HTTP interface over a kept connection, one at a time, each with a limit on its time.
+// HTTP client of one server: sends one request at a time over a persistent connection, each with a timeout.
 #pragma once
 
 #include <absl/time/time.h>
@@ -23,15 +23,15 @@
 
 class HttpClient final : private ConnectionHandler {
  public:
-  // Errors: kUnavailable (never sent), kOutcomeUnknown (sent, no whole answer), kDeadlineExceeded (the same,
-  // in time).
+  // Errors: kUnavailable (not sent), kOutcomeUnknown (sent, no complete response), kDeadlineExceeded (no
+  // complete response in time). The callback must not destroy the client.
   using Done = std::function<void(Result<HttpResponse>)>;
 
   HttpClient(boost::asio::io_context& reactor, TimerQueue& timers, Address address)
       : reactor_(reactor), timers_(timers), address_(std::move(address)) {}
   ~HttpClient() override;
 
-  // Calls wait for the one under way; the time limit counts from when a call's turn comes.
+  // Calls are queued behind the current one; the time limit starts when the call leaves the queue.
   void call(HttpCall call, absl::Duration time_limit, Done done);
   size_t queuedCalls() const { return queue_.size(); }
 
--- a/src/reactor/message_reader.cc
+++ b/src/reactor/message_reader.cc
@@ -17,7 +17,7 @@
   return {view.data(), view.size()};
 }
 
-// Keeps what Beast's parser finds. `Base` is the parser of requests or that of answers.
+// Collects the head and body from Beast's parser, for requests or for responses.
 template <bool kIsRequest>
 class Collector final : public http::basic_parser<kIsRequest> {
  public:
@@ -41,7 +41,7 @@
   }
   void on_field_impl(http::field /*field*/, BeastView name, BeastView value,
                      error_code& error) override {  // NOLINT
-    if (!head_complete) {                           // trailers belong to one connection
+    if (!head_complete) {                           // trailers are dropped: they belong to one connection
       head.fields.push_back({text(name), text(value)});
     }
     error = {};
--- a/src/reactor/message_reader.h
+++ b/src/reactor/message_reader.h
@@ -1,5 +1,5 @@
-// Reads HTTP/1.1 messages from the bytes of one connection, piece by piece. Over Beast's parser, which
-// refuses what could be read in two ways; heads are kept as they came, bodies without their framing.
+// Reads HTTP/1.1 messages incrementally from the bytes of one connection. Beast's parser rejects ambiguous
+// framing; heads are kept as received, bodies without their framing.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 enum class MessageKind : uint8_t { kRequest, kResponse };
 
-// What one message may take, in bytes.
+// Limits on the size of one message.
 struct MessageLimits {
   uint32_t header_bytes = 16384;
   uint64_t body_bytes = 4194304;
@@ -21,8 +21,8 @@
 
 enum class ReadStatus : uint8_t {
   kNeedsMore,
-  kDone,            // the message is whole; `next` begins the one after it
-  kMalformed,       // no message in the protocol
+  kDone,            // the message is complete; `next` begins the one after it
+  kMalformed,       // not valid HTTP/1.1
   kHeaderTooLarge,  // over MessageLimits::header_bytes
   kBodyTooLarge,    // over MessageLimits::body_bytes
 };
@@ -34,13 +34,14 @@
   MessageReader(const MessageReader&) = delete;
   MessageReader& operator=(const MessageReader&) = delete;
 
-  // Takes bytes of the connection and reads on. After kDone further bytes are only kept.
+  // Appends bytes of the connection and parses on. After kDone further bytes are only buffered.
   ReadStatus take(std::string_view bytes);
 
-  // The connection ended in good order. Whole only for an answer that lasts to the connection's end.
+  // Signals that the peer closed the connection in order. Gives kDone only for a response that is delimited
+  // by the close of the connection.
   ReadStatus takeEnd();
 
-  // Begins the next message with the bytes that are left. `without_body`: the answer to a HEAD request.
+  // Begins the next message with the buffered bytes. `without_body`: the response to a HEAD request.
   void next(bool without_body = false);
 
   ReadStatus status() const { return status_; }
@@ -48,15 +49,15 @@
   const HttpHead& head() const;
   // The body's bytes since the last call.
   std::string takeBody();
-  // Whether any byte of the current message has come.
+  // Whether any byte of the current message was received.
   bool started() const;
-  // Whether the body's length is told neither by a length nor by chunks.
+  // Whether the body is delimited by the close of the connection: neither Content-Length nor chunked.
   bool bodyEndsAtClose() const;
-  // The length that the head tells; nothing for chunked bodies and those that last to the end.
+  // The value of Content-Length; nullopt for chunked bodies and those delimited by the close.
   std::optional<uint64_t> contentLength() const;
   // Whether the message lets the connection be used again.
   bool keepsAlive() const;
-  // Bytes that came after the current message, or that its reading still waits for.
+  // Buffered bytes that were not parsed yet: those after the current message or of an incomplete element.
   size_t unreadBytes() const { return unread_.size(); }
 
  private:
--- a/src/reactor/simple_http_server.cc
+++ b/src/reactor/simple_http_server.cc
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-// Questions on one connection.
+// Handles the requests of one connection.
 class SimpleHttpServer::Session final : public ConnectionHandler,
                                         public std::enable_shared_from_this<Session> {
  public:
@@ -32,7 +32,7 @@
     }
   }
 
-  // One question at a time: the next one waits for the answer.
+  // Handles one request at a time: the next one waits for the response.
   void readOn() {
     while (!is_handling_request_ && reader_.status() == ReadStatus::kDone) {
       is_handling_request_ = true;
@@ -63,7 +63,7 @@
     if (reader_.status() == ReadStatus::kNeedsMore) {
       return;
     }
-    // Not from within the handler, which may have answered at once.
+    // Posted, as the handler may have responded synchronously.
     boost::asio::post(server_.reactor_, [weak = weak_from_this()] {
       if (const auto self = weak.lock(); self != nullptr && !self->is_handling_request_) {
         self->readOn();
@@ -90,8 +90,8 @@
       connection_->abort();
     }
     is_handling_request_ = true;  // nothing more is read
-    // Called from within this object: it goes once the reactor is back, and a lingering connection with it
-    // when the other side has closed.
+    // Posted, as this runs within the session that is to be destroyed. The session of a lingering connection
+    // stays in `sessions_`.
     if (!linger) {
       boost::asio::post(server_.reactor_, [&server = server_, self = this] { server.sessions_.erase(self); });
     }
@@ -115,7 +115,7 @@
       handler_(std::move(handler)),
       listener_(reactor, address, [this, max_connections](Connection::Socket socket) {
         if (sessions_.size() >= max_connections) {
-          sessions_.clear();  // those who ask come again; none may keep others out
+          sessions_.clear();  // clients retry; idle connections must not keep new ones out
         }
         auto session = std::make_shared<Session>(*this, std::move(socket));
         sessions_.emplace(session.get(), session);
--- a/src/reactor/simple_http_server.h
+++ b/src/reactor/simple_http_server.h
@@ -1,4 +1,4 @@
-// Answers small questions at an address of its own, each from memory: readiness, metrics, peers' questions.
+// HTTP server for small requests that are served from memory: readiness, metrics, requests of peers.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -25,7 +25,7 @@
 class SimpleHttpServer {
  public:
   using Handler = std::function<SimpleHttpResponse(const HttpHead& request)>;
-  // Gives a question its one answer, now or later; does nothing once its connection is gone.
+  // Sends the one response to a request, now or later; does nothing once the connection is closed.
   using Respond = std::function<void(const SimpleHttpResponse& response)>;
   using AsyncHandler = std::function<void(const HttpHead& request, const std::string& body, Respond respond)>;
 
--- a/src/reactor/timer_queue.cc
+++ b/src/reactor/timer_queue.cc
@@ -24,7 +24,7 @@
   key = Key();
 }
 
-// A timer that is armed for an earlier time stays: it arms the next one when it runs.
+// A timer armed for an earlier time is kept; when it expires, it arms the next one.
 void TimerQueue::arm() {
   if (actions_.empty() || actions_.begin()->first.first >= armed_for_) {
     return;
--- a/src/reactor/timer_queue.h
+++ b/src/reactor/timer_queue.h
@@ -1,5 +1,5 @@
-// Many deadlines over one timer of the reactor: most are cancelled before they are due, which costs no call
-// to the system.
+// Multiplexes many deadlines over one reactor timer. Most are cancelled before they are due, which costs no
+// system call.
 #pragma once
 
 #include <absl/time/time.h>
@@ -13,13 +13,13 @@
 
 namespace quincewick::reactor {
 
-// The steady clock as a time of its own epoch; never goes back. It counts the time for which the machine was
-// suspended, too: a lease, a key or a list is as old then as it is to the others.
+// A monotonic clock with an epoch of its own. It includes the time for which the machine was suspended, so
+// that a lease, a key or a list has the same age here as on other machines.
 absl::Time steadyNow();
 
 class TimerQueue {
  public:
-  // Names one deadline; a default one names none.
+  // Identifies one deadline; a default-constructed key identifies none.
   using Key = std::pair<absl::Time, uint64_t>;
 
   using Clock = std::function<absl::Time()>;
@@ -27,10 +27,10 @@
   explicit TimerQueue(boost::asio::io_context& reactor, Clock clock = steadyNow)
       : timer_(reactor), clock_(std::move(clock)) {}
 
-  // Calls `action` once, at `due` or soon after. The system's timers stand still while the machine is
-  // suspended: what came due meanwhile runs with the first timer after.
+  // Calls `action` once, at `due` or soon after. The system's timers stop while the machine is
+  // suspended: actions that came due meanwhile run with the first timer that expires afterwards.
   Key schedule(absl::Time due, std::function<void()> action);
-  // Forgets the deadline if it has not come; `key` names none afterwards.
+  // Cancels the action if it has not run, and resets `key`.
   void cancel(Key& key);
 
  private:
--- a/src/streams/answer_events.h
+++ b/src/streams/answer_events.h
@@ -1,4 +1,4 @@
-// What an answer stream is told, and what it asks for.
+// Input events and output actions of an AnswerStream.
 #pragma once
 
 #include <absl/container/inlined_vector.h>
@@ -12,13 +12,13 @@
 
 namespace quincewick::streams {
 
-// The request was admitted: begin.
+// The request was admitted; starts the first attempt.
 struct RequestOpened {};
 
-// No token has come for long and the hedging budget allows a second try beside the first.
+// The first token is overdue and the hedging budget allows a second, parallel attempt.
 struct HedgeAllowed {};
 
-// The engine has taken the attempt, or has taken its resumption, and can resume it if the connection breaks.
+// The engine accepted the attempt or its resumption, and can resume it if the connection breaks.
 struct EngineStarted {
   AttemptNumber attempt;
 };
@@ -29,7 +29,7 @@
   std::string text;
 };
 
-// The engine says that the whole answer has `token_count` tokens, those before this attempt included.
+// The engine finished. `token_count` covers the complete answer, including tokens before this attempt.
 struct EngineEnd {
   AttemptNumber attempt;
   uint64_t token_count = 0;
@@ -37,9 +37,9 @@
   Usage usage;
 };
 
-// The connection to the engine is gone or never came. `error.code` decides what follows: kInvalidArgument
-// ends the stream, kNotFound (the engine no longer knows the attempt) forbids resuming; all else may be tried
-// again.
+// The connection to the engine was lost or not established. `error.code` decides what follows:
+// kInvalidArgument ends the stream, kNotFound (the engine no longer knows the attempt) forbids resuming; all
+// else may be retried.
 struct EngineLost {
   AttemptNumber attempt;
   Error error;
@@ -48,17 +48,17 @@
 // The caller closed the connection.
 struct CallerGone {};
 
-// `bytes` of token text that DeliverToken handed over have left for the caller.
+// `bytes` of the token text from DeliverToken were sent to the caller.
 struct CallerDrained {
   uint64_t bytes = 0;
 };
 
-// The caller came back and holds all tokens before `from_offset`.
+// The caller reconnected and has all tokens before `from_offset`.
 struct CallerResumed {
   uint64_t from_offset = 0;
 };
 
-// The time for the whole answer is over.
+// The deadline of the complete answer passed.
 struct DeadlinePassed {};
 
 using AnswerEvent = std::variant<RequestOpened, HedgeAllowed, EngineStarted, EngineToken, EngineEnd,
@@ -80,7 +80,7 @@
   Error error;
 };
 
-// Ask the attempt's own engine for its tokens from `from_offset` on; its old connection is of no use.
+// Ask the attempt's own engine for its tokens from `from_offset` on; its old connection is to be dropped.
 struct ResumeAtEngine {
   AttemptNumber attempt;
   uint64_t from_offset = 0;
--- a/src/streams/answer_stream.cc
+++ b/src/streams/answer_stream.cc
@@ -116,7 +116,7 @@
   }
   const bool was_abandoned = phase_ == Phase::kAbandoned;
   phase_ = Phase::kRunning;
-  unsent_bytes_ = 0;  // of a connection that is no more
+  unsent_bytes_ = 0;  // those of the old connection are lost
   ++reconnects_;
   if (event.from_offset > transcript_.tokenCount()) {
     cut(Error{ErrorCode::kInvalidArgument, "the answer has no such offset yet", execution_});
@@ -169,7 +169,7 @@
   if (may_resume && attempt.started && attempt.resumes < options_.maximum_resumes) {
     ++attempt.resumes;
     attempt.resuming = true;
-    paused_ = false;  // the new connection is read
+    paused_ = false;  // reading is enabled on the new connection
     actions_.push_back(ResumeAtEngine{number, transcript_.tokenCount()});
     return;
   }
--- a/src/streams/stream_position.h
+++ b/src/streams/stream_position.h
@@ -1,4 +1,4 @@
-// The event id that callers see: which answer, which token, and so which node holds it.
+// The SSE event id: identifies the answer, the token, and through the request id the node that holds them.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace quincewick::streams {
 
-// A token's place among all answers of the site.
+// Position of a token, unique among all answers of the site.
 struct StreamPosition {
   RequestId request;
   uint64_t offset = 0;  // of the last token that the caller holds
@@ -18,17 +18,19 @@
   friend bool operator==(const StreamPosition&, const StreamPosition&) = default;
 };
 
-// Names a request served by `node`; `unique` tells it from the node's others, in this and earlier lives.
+// Names a request served by `node`; `unique` differs for all requests of the node,
+// also across its restarts.
 RequestId makeRequestId(const NodeId& node, uint64_t unique);
 
-// The node that serves the request and holds its recent tokens. An error when the id is not of this site's
-// form.
+// The node that serves the request and holds its recent tokens. Errors: kInvalidArgument if the id doesn't
+// have the form of makeRequestId.
 Result<NodeId> servingNode(const RequestId& request);
 
 // The `id` field of a token's event.
 std::string formatEventId(const StreamPosition& position);
 
-// Reads a `Last-Event-ID` header. An error for anything that formatEventId can't have made.
+// Reads a `Last-Event-ID` header. Errors: kInvalidArgument for anything that
+// formatEventId can't produce.
 Result<StreamPosition> parseEventId(std::string_view text);
 
 }  // namespace quincewick::streams
--- a/src/streams/stream_store.cc
+++ b/src/streams/stream_store.cc
@@ -3,7 +3,7 @@
 namespace quincewick::streams {
 namespace {
 
-// Memory of an entry besides its texts: the maps' nodes and the strings' and vectors' heads.
+// Memory of an entry besides its texts: map nodes and the headers of strings and vectors.
 constexpr uint64_t kEntryOverheadBytes = 400;
 
 uint64_t memoryOf(const RequestId& request, const RecentAnswer& answer) {
@@ -46,7 +46,7 @@
   while (!ages_.empty() && ages_.front().since + options_.maximum_age <= now) {
     dropOldest();
   }
-  // Ages of entries that were taken out are dropped here, so that they don't pile up.
+  // Removes the ages of entries that were taken, so that they don't accumulate.
   while (!ages_.empty()) {
     const auto entry = answers_.find(ages_.front().request);
     if (entry != answers_.end() && entry->second.order == ages_.front().order) {
--- a/src/streams/stream_store.h
+++ b/src/streams/stream_store.h
@@ -1,4 +1,4 @@
-// Keeps the recent answers of a node for callers who come back.
+// Stores the recent answers of a node for callers that reconnect.
 #pragma once
 
 #include <absl/container/btree_map.h>
@@ -22,7 +22,7 @@
   TenantId tenant;      // only this tenant may read it
   std::string request;  // what is needed to continue it at an engine; opaque here
   Transcript transcript;
-  std::optional<EndEvent> end;  // absent: it was abandoned and can be continued
+  std::optional<EndEvent> end;  // absent: the answer was abandoned and can be continued
 };
 
 struct StreamStoreOptions {
@@ -30,8 +30,8 @@
   uint64_t maximum_bytes = 8 * uint64_t{1024} * 1024;
 };
 
-// Bounded by age and by bytes; the oldest go first. An answer is taken out when its caller comes back and put
-// in again when the caller leaves again. Not thread-safe.
+// Bounded by age and by bytes; the oldest answer is evicted first. An answer is taken out when its caller
+// reconnects and put in again when the caller disconnects. Not thread-safe.
 class StreamStore {
  public:
   explicit StreamStore(const StreamStoreOptions& options) : options_(options) {}
@@ -39,11 +39,11 @@
   // Keeps the answer, replacing an older one of this request. One larger than the store is not kept.
   void put(const RequestId& request, RecentAnswer answer, absl::Time now);
 
-  // Removes and returns the answer. kNotFound when it is too old, was pushed out, never was here or belongs
-  // to another tenant: those cases look the same to the asker.
+  // Removes and returns the answer. kNotFound when it expired, was evicted, was never stored or belongs to
+  // another tenant; the caller can't tell these cases apart.
   Result<RecentAnswer> take(const RequestId& request, const TenantId& tenant, absl::Time now);
 
-  // Drops what is too old. Call about once a second.
+  // Evicts expired answers. Call about once a second.
   void expire(absl::Time now);
 
   uint64_t memoryBytes() const { return bytes_; }
@@ -58,7 +58,7 @@
   struct Age {
     absl::Time since;
     RequestId request;
-    uint64_t order = 0;  // tells an entry from an older one of the same request
+    uint64_t order = 0;  // distinguishes an entry from an older one of the same request
   };
 
   void erase(absl::btree_map<RequestId, Entry>::iterator entry);
@@ -66,7 +66,7 @@
 
   StreamStoreOptions options_;
   absl::btree_map<RequestId, Entry> answers_;
-  std::deque<Age> ages_;  // oldest first; may name entries that are gone
+  std::deque<Age> ages_;  // oldest first; may refer to entries that were removed
   uint64_t next_order_ = 0;
   uint64_t bytes_ = 0;
 };
--- a/src/streams/transcript.h
+++ b/src/streams/transcript.h
@@ -1,4 +1,4 @@
-// The tokens of one answer so far, kept so that they can be delivered again and continued from.
+// The tokens of one answer so far, for repeated delivery and for continuing the answer at another engine.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace quincewick::streams {
 
-// Token texts in one string, with the place where each ends. Not thread-safe.
+// Token texts in one string, with the end position of each. Not thread-safe.
 class Transcript {
  public:
   // Adds the token at offset `tokenCount()`.
@@ -22,7 +22,7 @@
   std::string_view token(uint64_t offset) const;
   // Bytes of text from the token at `offset` <= tokenCount() to the end.
   uint64_t bytesFrom(uint64_t offset) const;
-  // Bytes of memory that the tokens take up.
+  // Bytes of memory allocated for the tokens.
   uint64_t memoryBytes() const { return text_.capacity() + ends_.capacity() * sizeof(uint32_t); }
 
  private:
--- a/src/telemetry/event_lines.cc
+++ b/src/telemetry/event_lines.cc
@@ -7,7 +7,7 @@
 
 constexpr std::string_view kBegin = "event=";
 
-// Takes a quoted value from behind its first quote; false where it does not end.
+// Reads a quoted value after its opening quote; false if there is no closing quote.
 bool takeQuoted(std::string_view& rest, std::string& value) {
   while (!rest.empty()) {
     const char character = rest.front();
--- a/src/telemetry/event_lines.h
+++ b/src/telemetry/event_lines.h
@@ -1,4 +1,4 @@
-// Reads back what EventLog writes.
+// Parses the lines that EventLog writes.
 #pragma once
 
 #include <cstdint>
@@ -10,24 +10,24 @@
 
 namespace quincewick::telemetry {
 
-// One line's fields in their order.
+// The fields of one line in their order.
 struct EventLine {
   std::vector<std::pair<std::string, std::string>> fields;
 
-  // The field's value; empty: there is none.
+  // The value of the field; empty if there is none.
   std::string value(std::string_view name) const;
 };
 
 enum class LineKind : uint8_t {
   kEvent,
   kOther,   // holds no event
-  kBroken,  // begins an event that can't be read
+  kBroken,  // starts an event but is malformed
 };
 
-// Reads one line. What stands before its "event=" is passed over, as other tools put a time there.
+// Parses one line. Text before "event=" is skipped, as other tools put a timestamp there.
 LineKind parseEventLine(std::string_view text, EventLine& line);
 
-// The lines of one request over several logs, in the order of their wall clocks.
+// The lines of one request from several logs, ordered by wall clock.
 struct RequestTrace {
   std::vector<EventLine> lines;
   uint64_t events_read = 0;
--- a/src/telemetry/event_log.cc
+++ b/src/telemetry/event_log.cc
@@ -10,7 +10,7 @@
 namespace quincewick::telemetry {
 namespace {
 
-// A value with blanks, quotes or line breaks is quoted, so that each line reads back.
+// Quotes a value with spaces, quotes, '=' or control characters, so that each line can be parsed.
 std::string quoted(std::string_view value) {
   const bool plain = !value.empty() && std::none_of(value.begin(), value.end(), [](char character) {
     return character == ' ' || character == '"' || character == '=' ||
--- a/src/telemetry/event_log.h
+++ b/src/telemetry/event_log.h
@@ -1,7 +1,8 @@
-// Structured lines to standard output: one for each decision, key=value, without ever blocking the process.
+// Writes structured log lines (key=value), one for each decision, without ever blocking the process.
 //
-// Lines wait in a bounded buffer and go out when the reader takes them; what finds no room, or exceeds the
-// class's rate, is dropped and counted, and the count is told in a line of its own.
+// Lines are kept in a bounded buffer until the reader of the output takes them. Lines that exceed the buffer
+// or the rate limit of their event name are dropped and counted; those over the rate are also logged as a
+// line of their own.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -17,7 +18,7 @@
 struct EventLogSettings {
   std::string node;
   size_t buffer_bytes = 65536;
-  uint32_t max_lines_per_second = 50;                  // of one event's name
+  uint32_t max_lines_per_second = 50;                  // per event name
   std::function<absl::Time()> wall_clock = absl::Now;  // orders lines of several processes
 };
 
@@ -26,7 +27,7 @@
   // Writes to `descriptor`, which it makes non-blocking; -1 keeps all lines in the buffer.
   EventLog(EventLogSettings settings, int descriptor);
 
-  // One line under way; it is written when it goes out of scope.
+  // A line being built; it is added to the log when it goes out of scope.
   class Line {
    public:
     Line(EventLog* log, std::string text) : log_(log), text_(std::move(text)) {}
@@ -44,10 +45,10 @@
     std::string text_;
   };
 
-  // `now`: the steady clock. A line over the rate takes its fields and is not written.
+  // `now`: time of the steady clock. A line over the rate limit accepts fields but isn't written.
   Line event(std::string_view name, absl::Time now);
 
-  // Writes what the reader takes without waiting.
+  // Writes as much as possible without blocking.
   void flush();
   uint64_t droppedLines() const { return dropped_; }
   const std::string& buffered() const { return buffer_; }
--- a/tests/platform_dialect/platform_dialect_test.cc
+++ b/tests/platform_dialect/platform_dialect_test.cc
@@ -28,7 +28,7 @@
  "limits":{"maxHeaderBytes":1000,"maxBodyBytes":2000,"headerTimeoutMs":300,"idleTimeoutMs":400},
  "tenants":[{"name":"t","apiKeys":["k1"],"priority":0,"isolated":true}],"something":{"new":1}})";
 
-TEST_CASE("a configuration is read whole, unknown fields passed over") {
+TEST_CASE("a configuration is read completely and unknown fields are ignored") {
   const auto read = dialect().readConfiguration(kConfiguration);
   REQUIRE(read.has_value());
   const auto& site = read.value();
@@ -68,7 +68,7 @@
   CHECK_FALSE(limitIn(""));
 }
 
-TEST_CASE("a limit that can't be carried out is refused with its configuration") {
+TEST_CASE("an invalid limit rejects its configuration") {
   for (const char* fields : {R"(,"ratePerS":-1)", R"(,"ratePerS":"many")", R"(,"ratePerS":5,"burst":-2)",
                              R"(,"ratePerS":5,"unit":"bytes")"}) {
     CAPTURE(fields);
@@ -76,7 +76,7 @@
   }
 }
 
-TEST_CASE("malformed rows are refused, not read in part") {
+TEST_CASE("malformed rows are rejected as a whole") {
   CHECK(dialect().readConfiguration("{\"version\":7}").has_error());
   CHECK(dialect().readConfiguration("[]").has_error());
   CHECK(dialect().readConfiguration("{").has_error());
@@ -86,7 +86,7 @@
   CHECK(dialect().readNamedWeights(R"({"model":"m"})").has_error());
 }
 
-TEST_CASE("a server's entry") {
+TEST_CASE("a server entry is decoded") {
   const auto entry = dialect().readServer(
       "i-1", R"({"service":"x","address":"10.0.0.1:80","zone":"z","slots":6,"state":"draining",)"
              R"("models":[{"name":"m","version":3,"adapters":[]}]})");
@@ -114,7 +114,7 @@
   return head;
 }
 
-TEST_CASE("a request's facts") {
+TEST_CASE("the facts of a request are read from its headers") {
   const auto facts = dialect().readRequest(request());
   CHECK(facts.attempt_id == "id1");
   CHECK(facts.deadline == absl::Seconds(6));
@@ -126,8 +126,7 @@
   CHECK(facts.output_tokens == 80);
 }
 
-TEST_CASE(
-    "declared tokens are the prompt's and the answer's together, and nothing where they can't be read") {
+TEST_CASE("declared tokens are the sum of prompt and output tokens, and absent if malformed") {
   const auto declared = [](const std::string& usage) {
     HttpHead head;
     head.fields = {{"Quincewick-Token-Usage", usage}};
@@ -142,7 +141,7 @@
   CHECK_FALSE(dialect().readRequest(HttpHead()).declared_tokens);
 }
 
-TEST_CASE("what the system sets goes before what the caller sent; keys and connection fields stay here") {
+TEST_CASE("system headers replace those of the caller; keys and hop-by-hop headers are not forwarded") {
   SendFacts send;
   send.server_id = "i-1";
   send.tenant = TenantId("t");
@@ -162,7 +161,7 @@
   CHECK(*findField(dialect().fieldsForServer(request(), send), "Last-Event-Id") == "15");
 }
 
-TEST_CASE("an answer's facts") {
+TEST_CASE("the facts of a response are read from its headers") {
   HttpHead head;
   head.status = 421;
   head.fields = {{"Quincewick-Instance-Id", "i-2"},
@@ -178,7 +177,7 @@
   CHECK(facts.idle_limit == absl::Seconds(5));
 }
 
-TEST_CASE("the rate that a server names in an answer, and what is none") {
+TEST_CASE("the rate limit in a response, and malformed ones") {
   const auto read = [](const char* value) {
     HttpHead head;
     head.status = 200;
@@ -196,7 +195,7 @@
   CHECK_FALSE(dialect().readAnswer(HttpHead()).rate_limit);
 }
 
-TEST_CASE("whether a server says that it leaves, and for how long it wants no request") {
+TEST_CASE("the leaving flag and the back-off period in a response") {
   const auto read = [](int status, const char* name, const char* value) {
     HttpHead head;
     head.status = status;
@@ -237,8 +236,8 @@
   CHECK(rows.value().clock == absl::Milliseconds(51230));
 }
 
-// Each of the platform's names that a caller may not set, and the few that it may.
-TEST_CASE("of the platform's own fields a caller's pass only where they describe the request") {
+// Covers each platform header that a caller may not set and the few that it may.
+TEST_CASE("of the platform headers only those that describe the request are passed on from a caller") {
   const std::vector<std::string> described = {"Quincewick-Attempt-Id", "Quincewick-Model",
                                               "Quincewick-Token-Usage", "Quincewick-Prompt-Prefix",
                                               "Quincewick-Length-Hint"};
--- a/tests/platform_dialect/server_codec_test.cc
+++ b/tests/platform_dialect/server_codec_test.cc
@@ -1,4 +1,4 @@
-// Entries and reports of servers that others may have written: whole, or refused.
+// Server entries and reports may be written by other programs: each is accepted as a whole or rejected.
 #include "platform/server_codec.h"
 
 #include <rapidcheck.h>
@@ -26,14 +26,14 @@
           {"models", Json::array({{{"name", "m"}, {"version", 3}, {"adapters", Json::array()}}})}};
 }
 
-// What no field of an entry may be, each of another type or out of range.
+// Values that no field of an entry may have: of a wrong type or out of range.
 const std::vector<Json> kInvalidValues = {nullptr, true, -1, "", Json::array({1}), Json::object({{"a", 1}})};
 
 bool isRefused(const Json& entry) {
   return serverFrom("i-1", entry.dump()).has_error();
 }
 
-TEST_CASE("a sound entry tells its start") {
+TEST_CASE("a valid entry gives the start time") {
   const auto entry = serverFrom("i-1", validEntry().dump());
   REQUIRE(entry.has_value());
   CHECK(entry.value().started == absl::FromUnixMillis(1'764'700'000'123));
@@ -41,7 +41,7 @@
   CHECK_FALSE(entry.value().is_draining);
 }
 
-TEST_CASE("an entry that tells no start, or nothing that routing does without, can be used") {
+TEST_CASE("an entry without the start time or other optional fields is accepted") {
   Json entry = validEntry();
   for (const char* name : {"born", "models", "version", "coldRemainingMs", "sequence"}) {
     entry.erase(name);
@@ -51,7 +51,7 @@
   CHECK(read.value().started == absl::InfinitePast());
 }
 
-TEST_CASE("an entry that lacks what routing needs names no server") {
+TEST_CASE("an entry without a required field is rejected") {
   for (const char* name : {"service", "address", "zone", "slots", "state"}) {
     Json entry = validEntry();
     entry.erase(name);
@@ -60,7 +60,7 @@
   }
 }
 
-TEST_CASE("a field of another type refuses its entry") {
+TEST_CASE("an entry with a field of a wrong type is rejected") {
   for (const char* name : {"service", "address", "zone", "slots", "state"}) {
     for (const Json& value : kInvalidValues) {
       Json entry = validEntry();
@@ -77,7 +77,7 @@
   }
 }
 
-TEST_CASE("a state that isn't named, slots and starts out of range") {
+TEST_CASE("unknown states and out-of-range slots and start times are rejected") {
   const auto with = [](const char* name, const Json& value) {
     Json entry = validEntry();
     entry[name] = value;
@@ -97,7 +97,7 @@
   CHECK(isRefused(with("address", "10.0.0.1")));
 }
 
-TEST_CASE("bytes that can't be read are refused, cut anywhere or changed anywhere") {
+TEST_CASE("truncated entries are rejected, and corrupted ones are rejected or usable") {
   CHECK(rc::check([] {
     std::string bytes = validEntry().dump();
     if (*rc::gen::arbitrary<bool>()) {
@@ -115,7 +115,7 @@
   }));
 }
 
-TEST_CASE("a report tells its start; one that can't be read is refused whole") {
+TEST_CASE("a report gives the start time; a malformed one is rejected as a whole") {
   Json report = {{"busy", false}, {"sequence", 2}, {"born", 1'764'700'000'123}, {"models", Json::array()}};
   REQUIRE(reportFrom(report.dump()).has_value());
   CHECK(reportFrom(report.dump()).value().started == absl::FromUnixMillis(1'764'700'000'123));
--- a/tests/reactor/connection_test.cc
+++ b/tests/reactor/connection_test.cc
@@ -19,9 +19,9 @@
   return value;
 }
 
-// Finding F18: a stream whose engine lost power in the middle waited for its request's deadline, for nothing
-// of the gateway's own was left to be acknowledged.
-TEST_CASE("a connection that waits for its peer asks whether it is still there") {
+// Guards against a stream whose engine lost power waiting until the request's deadline: the gateway had no
+// unacknowledged data, so only keep-alive probes reveal the loss.
+TEST_CASE("dropping a silent peer enables keep-alive probes on an idle connection") {
   boost::asio::io_context reactor;
   tcp::acceptor acceptor(reactor, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
   Connection::Socket socket(reactor);
--- a/tests/reactor/message_reader_test.cc
+++ b/tests/reactor/message_reader_test.cc
@@ -6,7 +6,7 @@
 namespace quincewick::reactor {
 namespace {
 
-TEST_CASE("a message reads the same however its bytes are cut") {
+TEST_CASE("a message parses the same however its bytes are split") {
   CHECK(rc::check([] {
     const std::string body = *rc::gen::container<std::string>(rc::gen::inRange<char>(0, 127));
     const bool chunked = *rc::gen::arbitrary<bool>();
@@ -38,7 +38,7 @@
   }));
 }
 
-TEST_CASE("what could be read in two ways is refused") {
+TEST_CASE("ambiguous or malformed framing is rejected") {
   const std::string start = "POST / HTTP/1.1\r\nHost: h\r\n";
   for (const std::string& fields :
        {std::string("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"),
@@ -51,14 +51,14 @@
   }
 }
 
-TEST_CASE("limits on head and body are told apart") {
+TEST_CASE("exceeding the header limit and the body limit give different statuses") {
   MessageReader head(MessageKind::kRequest, {64, 100});
   CHECK(head.take("GET / HTTP/1.1\r\nX: " + std::string(200, 'x')) == ReadStatus::kHeaderTooLarge);
   MessageReader body(MessageKind::kRequest, {640, 100});
   CHECK(body.take("POST / HTTP/1.1\r\nContent-Length: 101\r\n\r\n") == ReadStatus::kBodyTooLarge);
 }
 
-TEST_CASE("an answer without a length is whole only when its connection ends in good order") {
+TEST_CASE("a response without a length is complete only when its connection closes in order") {
   MessageReader reader(MessageKind::kResponse, {});
   CHECK(reader.take("HTTP/1.1 200 OK\r\n\r\nabc") == ReadStatus::kNeedsMore);
   CHECK(reader.bodyEndsAtClose());
@@ -68,7 +68,7 @@
   CHECK(cut.takeEnd() == ReadStatus::kMalformed);
 }
 
-TEST_CASE("the answer to HEAD has no body, whatever its length says") {
+TEST_CASE("the response to HEAD has no body, whatever its Content-Length") {
   MessageReader reader(MessageKind::kResponse, {});
   reader.next(true);
   CHECK(reader.take("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n") == ReadStatus::kDone);
--- a/tests/reactor/timer_queue_test.cc
+++ b/tests/reactor/timer_queue_test.cc
@@ -15,8 +15,8 @@
   return absl::UnixEpoch() + absl::DurationFromTimespec(now);
 }
 
-// Users' machines may be suspended for seconds. The clock that ages went by stood still meanwhile, so a
-// gateway woke with leases, keys and lists as young as before: to all others they were older by that time.
+// Machines may be suspended for seconds. With a clock that stops meanwhile, a gateway resumes with leases,
+// keys and lists that seem younger than they are to all others.
 TEST_CASE("the steady clock counts the time for which the machine was suspended") {
   const absl::Time before = bootTime();
   const absl::Time now = steadyNow();
@@ -24,13 +24,13 @@
   CHECK(now <= bootTime());
 }
 
-// A clock that jumps as the machine's does over a suspension, while the system's timers stand still.
+// A clock that jumps as it does over a suspension, while the system's timers stop.
 struct SuspendedClock {
   absl::Duration suspended = absl::ZeroDuration();
   absl::Time operator()() const { return steadyNow() + suspended; }
 };
 
-TEST_CASE("what came due during a suspension runs with the first timer after it, in order") {
+TEST_CASE("actions that came due during a suspension run with the first timer after it, in order") {
   boost::asio::io_context reactor;
   SuspendedClock clock;
   TimerQueue timers(reactor, [&clock] { return clock(); });
@@ -40,14 +40,14 @@
   timers.schedule(start + absl::Hours(2), [&ran] { ran += "later"; });
   timers.schedule(start + absl::Milliseconds(1), [&] { ran += "tick "; });
   clock.suspended = absl::Minutes(61);
-  // Waits that were taken back for an earlier deadline come first.
+  // Completions of waits that were cancelled for an earlier deadline come first.
   while (ran.empty()) {
     reactor.run_one();
   }
   CHECK(ran == "tick lease");
 }
 
-TEST_CASE("a timer that is set after a suspension waits for as long as it says") {
+TEST_CASE("a timer that is set after a suspension waits for its full time") {
   boost::asio::io_context reactor;
   SuspendedClock clock;
   TimerQueue timers(reactor, [&clock] { return clock(); });
--- a/tests/streams/answer_stream_test.cc
+++ b/tests/streams/answer_stream_test.cc
@@ -16,7 +16,7 @@
   return absl::StrCat("t", offset, " ");
 }
 
-// One step of a schedule: what happens, and a number that picks among the choices.
+// One step of a schedule: the kind of event, and a number that selects among its variants.
 struct Step {
   uint8_t kind = 0;
   uint32_t pick = 0;
@@ -26,7 +26,8 @@
   out << int{step.kind} << ":" << step.pick;
 }
 
-// Engines that give the same answer, a network that loses, repeats and reorders, and a caller who checks.
+// Simulates engines that give the same answer, a network that loses, duplicates and reorders events, and a
+// caller that checks what it receives.
 class StreamHarness {
  public:
   StreamHarness(uint64_t answer_size, const AnswerOptions& options)
@@ -65,7 +66,7 @@
     }
   }
 
-  // A benign network from here on: the answer must come to its end.
+  // Runs with a fault-free network until the answer ends.
   void settle() {
     for (uint64_t round = 0; round < 40 * (answer_size_ + 4) && !ended_ && !cut_; ++round) {
       if (!connected_) {
@@ -82,7 +83,7 @@
   bool cut() const { return cut_; }
   bool connected() const { return connected_; }
   uint64_t received() const { return received_; }
-  // Engines with work that nobody cancelled and whose end the node hasn't seen.
+  // Engines whose work was not cancelled and whose end the node hasn't received.
   int64_t running() const {
     return std::count_if(engines_.begin(), engines_.end(),
                          [](const auto& entry) { return !entry.second.finished; });
@@ -92,7 +93,7 @@
   struct Engine {
     uint64_t next = 0;  // offset of the token that it sends next
     bool reading = true;
-    bool finished = false;  // its end reached the node after all tokens: nothing is left to cancel
+    bool finished = false;  // the node received its end after all tokens: nothing is left to cancel
   };
 
   void feed(const AnswerEvent& event) {
@@ -100,11 +101,11 @@
     for (const AnswerAction& action : stream_.handle(event)) {
       std::visit([this](const auto& one) { carryOut(one); }, action);
     }
-    RC_ASSERT(!at_end || running() == 0);  // a hedge's loser doesn't outlive the end
+    RC_ASSERT(!at_end || running() == 0);  // no hedged attempt outlives the end
     RC_ASSERT(unsent_ <= options_.unsent_limit_bytes + tokenAt(answer_size_).size());
   }
 
-  // Whether the event is the end of an engine that still counts, with all tokens before it at the node.
+  // Whether the event is the end from a live engine, with all tokens before it received by the node.
   bool noteEnd(const AnswerEvent& event) {
     const auto* end = std::get_if<EngineEnd>(&event);
     if (end == nullptr || stream_.transcript().tokenCount() != answer_size_) {
@@ -120,7 +121,7 @@
 
   void carryOut(const DeliverToken& token) {
     RC_ASSERT(connected_ && !ended_ && !cut_);
-    RC_ASSERT(engines_.size() <= 1u);  // the losers of a hedge are cancelled before the first token
+    RC_ASSERT(engines_.size() <= 1u);  // the other hedged attempts are cancelled before the first token
     RC_ASSERT(token.offset == received_);
     RC_ASSERT(token.text == tokenAt(received_));
     ++received_;
@@ -156,8 +157,7 @@
   void carryOut(const PauseReading& pause) { engines_.at(pause.attempt).reading = false; }
   void carryOut(const ResumeReading& resume) { engines_.at(resume.attempt).reading = true; }
 
-  // The engine's next token or its end goes into the network. An end goes out again and again, as after a
-  // resume.
+  // Sends the engine's next token or its end into the network. An end is sent repeatedly, as after a resume.
   void emit(uint32_t pick) {
     if (engines_.empty()) {
       return;
@@ -178,7 +178,7 @@
     if (in_flight_.empty()) {
       return;
     }
-    // Mostly in order, at times any.
+    // Mostly in order, sometimes reordered.
     const auto chosen = in_flight_.begin() + (pick % 5 == 1 ? pick % in_flight_.size() : 0);
     const AnswerEvent event = *chosen;
     if (!again) {
@@ -217,7 +217,7 @@
       return;
     }
     connected_ = true;
-    received_ -= std::min<uint64_t>(received_, pick % 3);  // what was under way is lost
+    received_ -= std::min<uint64_t>(received_, pick % 3);  // tokens in flight are lost
     feed(CallerResumed{received_});
   }
 
@@ -258,7 +258,7 @@
   });
 }
 
-TEST_CASE("with generous limits no schedule can keep the answer from its end") {
+TEST_CASE("with generous limits the answer ends under any schedule") {
   rc::prop("ends", [] {
     AnswerOptions options;
     options.maximum_attempts = 10000;
@@ -277,7 +277,9 @@
 }
 
 // Guards against counting an engine that has sent its end among those whose work must be cancelled.
-TEST_CASE("a caller who leaves after the engine's end leaves nothing to cancel and gets the rest on return") {
+TEST_CASE(
+    "a caller that disconnects after the engine's end leaves nothing to cancel and gets the remaining tokens "
+    "later") {
   AnswerStream stream(AnswerOptions{.unsent_limit_bytes = 1});
   stream.handle(RequestOpened{});
   stream.handle(EngineToken{AttemptNumber(1), 0, tokenAt(0)});
@@ -291,7 +293,7 @@
   CHECK(std::get<DeliverEnd>(actions[1]).end.token_count == 2);
 }
 
-TEST_CASE("when the limits are used up, the caller is told, and whether anything ran") {
+TEST_CASE("when the limits are used up, the caller gets an error that says whether anything ran") {
   AnswerStream stream(AnswerOptions{.maximum_attempts = 2});
   stream.handle(RequestOpened{});
   const Error refused{ErrorCode::kUnavailable, "connection refused", Execution::kNotRun};
--- a/tests/streams/stream_store_test.cc
+++ b/tests/streams/stream_store_test.cc
@@ -19,12 +19,12 @@
   return answer;
 }
 
-TEST_CASE("the store keeps within its bytes and age, and gives an answer back once and to its tenant only") {
+TEST_CASE("the store respects its size and age limits, and returns an answer once and to its tenant only") {
   rc::prop("bounded and private", [] {
     const StreamStoreOptions options{absl::Seconds(10), 4000};
     StreamStore store(options);
     absl::Time now = absl::UnixEpoch();
-    std::map<RequestId, std::pair<uint64_t, absl::Time>> put;  // what may be there
+    std::map<RequestId, std::pair<uint64_t, absl::Time>> put;  // answers that may be stored
     const auto steps = *rc::gen::container<std::vector<uint16_t>>(100, rc::gen::inRange<uint16_t>(0, 1000));
     for (const uint16_t step : steps) {
       now += absl::Milliseconds(step);
@@ -50,14 +50,14 @@
   });
 }
 
-TEST_CASE("what was just put is there") {
+TEST_CASE("an answer that was just stored can be taken") {
   StreamStore store(StreamStoreOptions{});
   store.put(RequestId("r"), answerOf("school", 3), absl::UnixEpoch());
   CHECK(store.take(RequestId("r"), TenantId("school"), absl::UnixEpoch()).value().transcript.tokenCount() ==
         3);
 }
 
-TEST_CASE("event ids tell request, node and offset, and garbage is refused") {
+TEST_CASE("event ids identify request, node and offset, and malformed ids are rejected") {
   rc::prop("round trip", [](uint64_t unique, uint64_t offset) {
     const StreamPosition position{makeRequestId(NodeId("hall-a:1~x"), unique), offset};
     RC_ASSERT(parseEventId(formatEventId(position)).value() == position);
--- a/tests/telemetry/event_lines_test.cc
+++ b/tests/telemetry/event_lines_test.cc
@@ -8,7 +8,7 @@
 namespace quincewick::telemetry {
 namespace {
 
-TEST_CASE("what the log writes reads back, whatever the value") {
+TEST_CASE("lines of the log parse back to their values, whatever the value") {
   CHECK(rc::check([] {
     // Control characters become blanks in the log.
     const std::string value = *rc::gen::container<std::string>(rc::gen::inRange<char>(32, 127));
@@ -21,7 +21,7 @@
   }));
 }
 
-TEST_CASE("lines of one request are gathered in the order of their wall clocks") {
+TEST_CASE("lines of one request are collected in wall-clock order") {
   TraceCollector collector("r1");
   collector.take("event=request node=b time_ms=20 request=r1 outcome=answered");
   collector.take("event=refused node=a time_ms=3 request=r1 why=no_server");
