--- a/src/cli/check_command.cc
+++ b/src/cli/check_command.cc
@@ -15,18 +15,17 @@
 namespace quincewick::cli {
 namespace {
 
-constexpr const char* kSettingsMark = "node_id:";
+constexpr const char* kNodeIdField = "node_id:";
 
 // A settings file has its node's id at the top level; a policy never has.
-bool looksLikeSettings(const std::string& text) {
-  return text.rfind(kSettingsMark, 0) == 0 ||
-         text.find(std::string("\n") + kSettingsMark) != std::string::npos;
+bool looksLikeNodeSettings(const std::string& text) {
+  return text.rfind(kNodeIdField, 0) == 0 || text.find(std::string("\n") + kNodeIdField) != std::string::npos;
 }
 
 template <class T>
-bool report(const std::string& file, const char* what, const configuration::Parsed<T>& parsed) {
+bool report(const std::string& file, const char* file_kind, const configuration::Parsed<T>& parsed) {
   if (parsed.ok()) {
-    std::cout << file << ": ok (" << what << ")\n";
+    std::cout << file << ": ok (" << file_kind << ")\n";
     return true;
   }
   std::cerr << configuration::printDiagnostics(file, parsed.diagnostics) << "\n";
@@ -42,7 +41,7 @@
   if (gateway::looksLikeGatewaySettings(text.value())) {
     return report(file, "gateway settings", gateway::parseGatewaySettings(text.value()));
   }
-  if (looksLikeSettings(text.value())) {
+  if (looksLikeNodeSettings(text.value())) {
     return report(file, "settings", configuration::parseNodeSettings(text.value()));
   }
   return report(file, "policy", configuration::parsePolicy(text.value()));
--- a/src/cli/ctl_client.cc
+++ b/src/cli/ctl_client.cc
@@ -6,8 +6,8 @@
 namespace quincewick::cli {
 namespace {
 
-constexpr int kOperationSends = 4;
-constexpr absl::Duration kPauseBetweenSends = absl::Milliseconds(500);
+constexpr int kMaxOperationAttempts = 4;
+constexpr absl::Duration kRetryDelay = absl::Milliseconds(500);
 
 httplib::Client connect(const Address& node, absl::Duration timeout) {
   httplib::Client client(node.host, node.port);
@@ -19,49 +19,50 @@
   return client;
 }
 
-CtlAnswer toAnswer(const httplib::Result& result) {
-  CtlAnswer answer;
-  answer.body = nlohmann::json::object();
+CtlResponse toResponse(const httplib::Result& result) {
+  CtlResponse response;
+  response.body = nlohmann::json::object();
   if (!result) {
-    answer.transport = httplib::to_string(result.error());
-    return answer;
+    response.transport_error = httplib::to_string(result.error());
+    return response;
   }
-  answer.status = result->status;
+  response.status = result->status;
   nlohmann::json body = nlohmann::json::parse(result->body, nullptr, false);
   if (body.is_object()) {
-    answer.body = std::move(body);
+    response.body = std::move(body);
   }
-  return answer;
+  return response;
 }
 
 // Whether the operation may or may not have been carried out.
-bool isUncertain(const CtlAnswer& answer) {
-  if (answer.status == 0) {
+bool isOutcomeUnknown(const CtlResponse& response) {
+  if (response.status == 0) {
     return true;
   }
-  const nlohmann::json error = answer.body.value("error", nlohmann::json::object());
+  const nlohmann::json error = response.body.value("error", nlohmann::json::object());
   return error.is_object() && error.value("ran", "") == "unknown";
 }
 
 }  // namespace
 
-CtlAnswer CtlClient::get(const std::string& path) const {
+CtlResponse CtlClient::get(const std::string& path) const {
   httplib::Client client = connect(node_, timeout_);
-  return toAnswer(client.Get(path, {{"Authorization", "Bearer " + key_}}));
+  return toResponse(client.Get(path, {{"Authorization", "Bearer " + key_}}));
 }
 
-CtlAnswer CtlClient::post(const std::string& path, const nlohmann::json& body) const {
+CtlResponse CtlClient::post(const std::string& path, const nlohmann::json& body) const {
   httplib::Client client = connect(node_, timeout_);
-  return toAnswer(client.Post(path, {{"Authorization", "Bearer " + key_}}, body.dump(), "application/json"));
+  return toResponse(
+      client.Post(path, {{"Authorization", "Bearer " + key_}}, body.dump(), "application/json"));
 }
 
-CtlAnswer CtlClient::postOperation(const std::string& path, const nlohmann::json& body) const {
-  CtlAnswer answer = post(path, body);
-  for (int sends = 1; sends < kOperationSends && isUncertain(answer); ++sends) {
-    absl::SleepFor(kPauseBetweenSends);
-    answer = post(path, body);
+CtlResponse CtlClient::postOperation(const std::string& path, const nlohmann::json& body) const {
+  CtlResponse response = post(path, body);
+  for (int attempts = 1; attempts < kMaxOperationAttempts && isOutcomeUnknown(response); ++attempts) {
+    absl::SleepFor(kRetryDelay);
+    response = post(path, body);
   }
-  return answer;
+  return response;
 }
 
 }  // namespace quincewick::cli
--- a/src/cli/ctl_client.h
+++ b/src/cli/ctl_client.h
@@ -12,10 +12,10 @@
 namespace quincewick::cli {
 
 // A node's answer: status 0 when there was none.
-struct CtlAnswer {
+struct CtlResponse {
   int status = 0;
-  nlohmann::json body;    // empty object where it was no JSON
-  std::string transport;  // what went wrong on the way; empty: nothing
+  nlohmann::json body;          // empty object where it was no JSON
+  std::string transport_error;  // what went wrong on the way; empty: nothing
 
   bool ok() const { return status == 200; }
 };
@@ -25,11 +25,11 @@
   CtlClient(Address node, std::string key, absl::Duration timeout)
       : node_(std::move(node)), key_(std::move(key)), timeout_(timeout) {}
 
-  CtlAnswer get(const std::string& path) const;
-  CtlAnswer post(const std::string& path, const nlohmann::json& body) const;
+  CtlResponse get(const std::string& path) const;
+  CtlResponse post(const std::string& path, const nlohmann::json& body) const;
   // A post whose body names its operation, so that it may be sent again when its answer was lost or said that
   // the outcome is unknown.
-  CtlAnswer postOperation(const std::string& path, const nlohmann::json& body) const;
+  CtlResponse postOperation(const std::string& path, const nlohmann::json& body) const;
 
  private:
   Address node_;
--- a/src/cli/ctl_command.cc
+++ b/src/cli/ctl_command.cc
@@ -24,11 +24,11 @@
 namespace quincewick::cli {
 namespace {
 
-using cli::CtlAnswer;
 using cli::CtlClient;
+using cli::CtlResponse;
 using Json = nlohmann::json;
 
-enum ExitCode : int { kDone = 0, kFailed = 1, kMisuse = 2, kConflict = 3, kUnknown = 4 };
+enum ExitCode : int { kDone = 0, kFailed = 1, kMisuse = 2, kConflict = 3, kOutcomeUnknown = 4 };
 
 constexpr int kStatusUnprocessable = 422;
 constexpr absl::Duration kWatchInterval = absl::Seconds(1);
@@ -48,13 +48,13 @@
 
 // What the command line says.
 struct Invocation {
-  std::vector<std::string> words;  // the command and its arguments
+  std::vector<std::string> positional_arguments;  // the command and its arguments
   bool json = false;
   bool once = false;
   std::optional<uint64_t> base;
   std::string comment;
   std::string operation;
-  std::map<std::string, std::string> query;
+  std::map<std::string, std::string> explain_query;
 };
 
 int misuse(const std::string& message) {
@@ -63,12 +63,12 @@
 }
 
 // Prints why a call failed and returns the exit code for it.
-int reportFailure(const CtlAnswer& answer) {
-  if (answer.status == 0) {
-    std::cerr << "quincewick ctl: the node can't be reached: " << answer.transport << "\n";
+int reportFailure(const CtlResponse& response) {
+  if (response.status == 0) {
+    std::cerr << "quincewick ctl: the node can't be reached: " << response.transport_error << "\n";
     return kFailed;
   }
-  const Json error = answer.body.value("error", Json::object());
+  const Json error = response.body.value("error", Json::object());
   const std::string type = error.value("type", "");
   if (type == "conflict" && error.contains("version")) {
     std::cerr << "conflict: " << error.value("key", "") << " was changed by " << error.value("author", "")
@@ -76,21 +76,22 @@
               << "; get the policy again and repeat the change\n";
     return kConflict;
   }
-  if (answer.status == kStatusUnprocessable) {
+  if (response.status == kStatusUnprocessable) {
     for (const Json& fault : error.value("faults", Json::array())) {
       std::cerr << fault.get<std::string>() << "\n";
     }
     return kMisuse;
   }
-  std::cerr << "quincewick ctl: " << error.value("message", absl::StrCat("status ", answer.status)) << "\n";
-  return error.value("ran", "") == "unknown" ? kUnknown : kFailed;
+  std::cerr << "quincewick ctl: " << error.value("message", absl::StrCat("status ", response.status)) << "\n";
+  return error.value("ran", "") == "unknown" ? kOutcomeUnknown : kFailed;
 }
 
-int show(const Invocation& invocation, const CtlAnswer& answer, std::string (*format)(const Json&)) {
-  if (!answer.ok()) {
-    return reportFailure(answer);
+int printResponse(const Invocation& invocation, const CtlResponse& response,
+                  std::string (*format)(const Json&)) {
+  if (!response.ok()) {
+    return reportFailure(response);
   }
-  std::cout << (invocation.json ? answer.body.dump(2) + "\n" : format(answer.body));
+  std::cout << (invocation.json ? response.body.dump(2) + "\n" : format(response.body));
   return kDone;
 }
 
@@ -133,24 +134,24 @@
 
 // The policy in force as the node tells it, with its version as base_version.
 struct PolicyInForce {
-  CtlAnswer answer;
+  CtlResponse response;
   configuration::Policy policy;
 };
 
 std::optional<PolicyInForce> fetchPolicy(const CtlClient& client, int& exit_code) {
   PolicyInForce in_force{client.get("/v1/operator/policy"), {}};
-  if (!in_force.answer.ok()) {
-    exit_code = reportFailure(in_force.answer);
+  if (!in_force.response.ok()) {
+    exit_code = reportFailure(in_force.response);
     return std::nullopt;
   }
-  auto parsed = configuration::parsePolicy(in_force.answer.body.value("text", ""));
+  auto parsed = configuration::parsePolicy(in_force.response.body.value("text", ""));
   if (!parsed.ok()) {
     std::cerr << "quincewick ctl: the node's policy can't be read; is this tool older than the node?\n";
     exit_code = kFailed;
     return std::nullopt;
   }
   in_force.policy = std::move(*parsed.value);
-  in_force.policy.base_version = in_force.answer.body.value("version", uint64_t{0});
+  in_force.policy.base_version = in_force.response.body.value("version", uint64_t{0});
   return in_force;
 }
 
@@ -160,14 +161,14 @@
   if (!in_force) {
     return exit_code;
   }
-  std::cout << (invocation.json ? in_force->answer.body.dump(2) + "\n"
+  std::cout << (invocation.json ? in_force->response.body.dump(2) + "\n"
                                 : configuration::printPolicy(in_force->policy));
   return kDone;
 }
 
 int runDiff(const CtlClient& client, const Invocation& invocation) {
   int exit_code = kDone;
-  auto wanted = readPolicy(invocation.words[1]);
+  auto wanted = readPolicy(invocation.positional_arguments[1]);
   if (!wanted) {
     return kMisuse;
   }
@@ -195,7 +196,7 @@
 // Without a base in the file or on the command line, the version in force when the command starts is the
 // base.
 int runApply(const CtlClient& client, const Invocation& invocation) {
-  const auto wanted = readPolicy(invocation.words[1]);
+  const auto wanted = readPolicy(invocation.positional_arguments[1]);
   if (!wanted) {
     return kMisuse;
   }
@@ -211,39 +212,40 @@
   Json body = operationBody(invocation);
   body["base_version"] = base;
   body["policy"] = configuration::printPolicy(*wanted);
-  return show(invocation, client.postOperation("/v1/operator/changes", body), formatAccepted);
+  return printResponse(invocation, client.postOperation("/v1/operator/changes", body), formatAccepted);
 }
 
 int runRollback(const CtlClient& client, const Invocation& invocation) {
   uint64_t version = 0;
-  if (!absl::SimpleAtoi(invocation.words[1], &version)) {
+  if (!absl::SimpleAtoi(invocation.positional_arguments[1], &version)) {
     return misuse("rollback: expected a version");
   }
   Json body = operationBody(invocation);
   body["version"] = version;
-  return show(invocation, client.postOperation("/v1/operator/rollback", body), formatAccepted);
+  return printResponse(invocation, client.postOperation("/v1/operator/rollback", body), formatAccepted);
 }
 
-int runControl(const CtlClient& client, const Invocation& invocation) {
-  const std::string path = "/v1/operator/back_ends/" + invocation.words[1] + "/" + invocation.words[0];
-  return show(invocation, client.post(path, Json::object()), formatDone);
+int runBackEndCommand(const CtlClient& client, const Invocation& invocation) {
+  const std::string path = "/v1/operator/back_ends/" + invocation.positional_arguments[1] + "/" +
+                           invocation.positional_arguments[0];
+  return printResponse(invocation, client.post(path, Json::object()), formatDone);
 }
 
 int runExplain(const CtlClient& client, const Invocation& invocation) {
-  return show(invocation, client.post("/v1/operator/explain", Json(invocation.query)),
-              cli::formatExplanation);
+  return printResponse(invocation, client.post("/v1/operator/explain", Json(invocation.explain_query)),
+                       cli::formatExplanation);
 }
 
 // Follows a rollout until it is done or rolled back.
 int followRollout(const CtlClient& client, const Invocation& invocation) {
   for (;;) {
-    const CtlAnswer answer = client.get("/v1/operator/status");
-    if (!answer.ok()) {
-      return reportFailure(answer);
+    const CtlResponse response = client.get("/v1/operator/status");
+    if (!response.ok()) {
+      return reportFailure(response);
     }
     std::string state = "unknown";
-    for (const Json& rollout : answer.body.value("rollouts", Json::array())) {
-      if (rollout.value("model", "") == invocation.words[1]) {
+    for (const Json& rollout : response.body.value("rollouts", Json::array())) {
+      if (rollout.value("model", "") == invocation.positional_arguments[1]) {
         state = rollout.value("state", "");
         std::cout << (invocation.json ? rollout.dump()
                                       : absl::StrCat(rollout.value("loaded", 0), " of ",
@@ -260,7 +262,7 @@
 
 int runRollout(const CtlClient& client, const Invocation& invocation) {
   uint64_t version = 0;
-  if (!absl::SimpleAtoi(invocation.words[2], &version)) {
+  if (!absl::SimpleAtoi(invocation.positional_arguments[2], &version)) {
     return misuse("rollout: expected a model and a version of its weights");
   }
   int exit_code = kDone;
@@ -269,9 +271,9 @@
     return exit_code;
   }
   configuration::Policy wanted = in_force->policy;
-  const auto model = wanted.models.find(ModelName(invocation.words[1]));
+  const auto model = wanted.models.find(ModelName(invocation.positional_arguments[1]));
   if (model == wanted.models.end()) {
-    return misuse("rollout: the policy has no model \"" + invocation.words[1] + "\"");
+    return misuse("rollout: the policy has no model \"" + invocation.positional_arguments[1] + "\"");
   }
   model->second.weights_version = WeightsVersion(version);
   Json body = operationBody(invocation);
@@ -280,18 +282,19 @@
   for (const auto& change : configuration::policyDifference(in_force->policy, wanted)) {
     body["changes"].push_back({{"key", change.key.value()}, {"text", *change.text}});
   }
-  const int applied = show(invocation, client.postOperation("/v1/operator/changes", body), formatAccepted);
+  const int applied =
+      printResponse(invocation, client.postOperation("/v1/operator/changes", body), formatAccepted);
   return applied == kDone ? followRollout(client, invocation) : applied;
 }
 
 int runWatch(const CtlClient& client, const Invocation& invocation) {
   uint64_t after = invocation.base.value_or(0);
   for (;;) {
-    const CtlAnswer answer = client.get(absl::StrCat("/v1/operator/changes?after=", after));
-    if (!answer.ok()) {
-      return reportFailure(answer);
+    const CtlResponse response = client.get(absl::StrCat("/v1/operator/changes?after=", after));
+    if (!response.ok()) {
+      return reportFailure(response);
     }
-    for (const Json& change : answer.body.value("changes", Json::array())) {
+    for (const Json& change : response.body.value("changes", Json::array())) {
       after = change.value("version", after);
       std::cout << (invocation.json ? change.dump()
                                     : absl::StrCat(after, "  ", change.value("accepted_at", ""), "  ",
@@ -308,19 +311,19 @@
 }
 
 int runStatus(const CtlClient& client, const Invocation& invocation) {
-  return show(invocation, client.get("/v1/operator/status"), cli::formatStatus);
+  return printResponse(invocation, client.get("/v1/operator/status"), cli::formatStatus);
 }
 
 struct Command {
-  size_t words = 1;  // with its own name
+  size_t positional_argument_count = 1;  // with its own name
   int (*run)(const CtlClient& client, const Invocation& invocation) = nullptr;
 };
 
 const std::map<std::string, Command>& commands() {
   static const auto* const table = new std::map<std::string, Command>{
-      {"apply", {2, runApply}},    {"get", {1, runGet}},         {"diff", {2, runDiff}},
-      {"status", {1, runStatus}},  {"explain", {1, runExplain}}, {"drain", {2, runControl}},
-      {"resume", {2, runControl}}, {"rollout", {3, runRollout}}, {"rollback", {2, runRollback}},
+      {"apply", {2, runApply}},           {"get", {1, runGet}},         {"diff", {2, runDiff}},
+      {"status", {1, runStatus}},         {"explain", {1, runExplain}}, {"drain", {2, runBackEndCommand}},
+      {"resume", {2, runBackEndCommand}}, {"rollout", {3, runRollout}}, {"rollback", {2, runRollback}},
       {"watch", {1, runWatch}},
   };
   return *table;
@@ -354,7 +357,7 @@
 Invocation makeInvocation(const cxxopts::ParseResult& arguments) {
   Invocation invocation;
   if (arguments.count("words") > 0) {
-    invocation.words = arguments["words"].as<std::vector<std::string>>();
+    invocation.positional_arguments = arguments["words"].as<std::vector<std::string>>();
   }
   invocation.json = arguments["output"].as<std::string>() == "json";
   invocation.once = arguments.count("once") > 0;
@@ -364,7 +367,7 @@
   invocation.comment = arguments["comment"].as<std::string>();
   invocation.operation = arguments["operation"].as<std::string>();
   for (const char* field : {"tenant", "kind", "model", "prompt"}) {
-    invocation.query[field] = arguments[field].as<std::string>();
+    invocation.explain_query[field] = arguments[field].as<std::string>();
   }
   return invocation;
 }
@@ -387,15 +390,16 @@
 
 int dispatch(const cxxopts::ParseResult& arguments) {
   const Invocation invocation = makeInvocation(arguments);
-  if (invocation.words.empty()) {
+  if (invocation.positional_arguments.empty()) {
     return misuse("expected a command; see --help");
   }
-  const auto command = commands().find(invocation.words[0]);
+  const auto command = commands().find(invocation.positional_arguments[0]);
   if (command == commands().end()) {
-    return misuse("unknown command \"" + invocation.words[0] + "\"; see --help");
+    return misuse("unknown command \"" + invocation.positional_arguments[0] + "\"; see --help");
   }
-  if (invocation.words.size() != command->second.words) {
-    return misuse(absl::StrCat(invocation.words[0], ": expected ", command->second.words - 1, " arguments"));
+  if (invocation.positional_arguments.size() != command->second.positional_argument_count) {
+    return misuse(absl::StrCat(invocation.positional_arguments[0], ": expected ",
+                               command->second.positional_argument_count - 1, " arguments"));
   }
   const auto output = arguments["output"].as<std::string>();
   if (output != "table" && output != "json") {
--- a/src/cli/demo_command.cc
+++ b/src/cli/demo_command.cc
@@ -22,7 +22,7 @@
 constexpr int kStatusOk = 200;
 
 // What one completion cost, as its caller saw it.
-struct Observation {
+struct CompletionMeasurement {
   absl::Duration first_token;
   uint64_t prompt_tokens = 0;
   uint64_t cached_tokens = 0;
@@ -40,15 +40,16 @@
   return prompt;
 }
 
-void checkStatus(const httplib::Result& result, const char* what) {
+void checkStatus(const httplib::Result& result, const char* step) {
   if (!result || result->status != kStatusOk) {
-    LOG(ERROR) << "event=demo_failed step=\"" << what << "\" status=" << (result ? result->status : 0)
+    LOG(ERROR) << "event=demo_failed step=\"" << step << "\" status=" << (result ? result->status : 0)
                << " body=" << (result ? result->body : httplib::to_string(result.error()));
   }
 }
 
 // Sends a streamed chat completion and notes when the first token came.
-bool observeStream(httplib::Client& client, const std::string& prompt, Observation& observation) {
+bool measureStreamedCompletion(httplib::Client& client, const std::string& prompt,
+                               CompletionMeasurement& measurement) {
   const Json body = {{"model", kDemoModel},
                      {"stream", true},
                      {"max_tokens", 24},
@@ -64,7 +65,7 @@
   const absl::Time begin = absl::Now();
   request.content_receiver = [&](const char* data, size_t size, uint64_t, uint64_t) {
     if (text.empty()) {
-      observation.first_token = absl::Now() - begin;
+      measurement.first_token = absl::Now() - begin;
     }
     text.append(data, size);
     return true;
@@ -77,20 +78,20 @@
   }
   const size_t line_begin = text.rfind("data: ", usage) + std::string("data: ").size();
   const Json end = Json::parse(text.substr(line_begin, text.find('\n', line_begin) - line_begin));
-  observation.prompt_tokens = end["usage"]["prompt_tokens"];
-  observation.cached_tokens = end["usage"]["prompt_tokens_details"]["cached_tokens"];
+  measurement.prompt_tokens = end["usage"]["prompt_tokens"];
+  measurement.cached_tokens = end["usage"]["prompt_tokens_details"]["cached_tokens"];
   return text.find("data: [DONE]") != std::string::npos;
 }
 
 bool showCompletion(httplib::Client& client, const char* title, const std::string& prompt) {
-  Observation observation;
-  if (!observeStream(client, prompt, observation)) {
+  CompletionMeasurement measurement;
+  if (!measureStreamedCompletion(client, prompt, measurement)) {
     return false;
   }
   std::printf("%-34s first token %6.1f ms, prompt %llu tokens, %llu from cache\n", title,
-              absl::ToDoubleMilliseconds(observation.first_token),
-              static_cast<unsigned long long>(observation.prompt_tokens),
-              static_cast<unsigned long long>(observation.cached_tokens));
+              absl::ToDoubleMilliseconds(measurement.first_token),
+              static_cast<unsigned long long>(measurement.prompt_tokens),
+              static_cast<unsigned long long>(measurement.cached_tokens));
   return true;
 }
 
@@ -105,11 +106,11 @@
   }
   std::printf("%-34s status %d, repeated answer: %s, runs so far: %llu\n", title, result->status,
               result->get_header_value("X-Repeated").c_str(),
-              static_cast<unsigned long long>(site.actionRuns()));
+              static_cast<unsigned long long>(site.actionRunCount()));
   return true;
 }
 
-bool runTour(uint16_t port, DemoSite& site) {
+bool runExampleRequests(uint16_t port, DemoSite& site) {
   httplib::Client client("127.0.0.1", port);
   client.set_tcp_nodelay(true);
   client.set_keep_alive(true);
@@ -120,7 +121,7 @@
          showAction(client, site, "an action under a key") && showAction(client, site, "the same key again");
 }
 
-void printWhatToTry(uint16_t port) {
+void printExampleCommands(uint16_t port) {
   std::printf(
       "\nThe site stays up on port %u. Try, in another shell:\n"
       "  curl -N http://127.0.0.1:%u/v1/chat/completions -H 'Authorization: Bearer %s' \\\n"
@@ -133,7 +134,7 @@
       port, port, kDemoKey, kDemoModel, port, kDemoActionKind, kDemoKey, port, kDemoKey, port);
 }
 
-int runDemo(absl::Duration stay) {
+int runDemo(absl::Duration stay_up_time) {
   DemoSite site;
   const Result<uint16_t> port = site.start();
   if (port.has_error()) {
@@ -141,13 +142,13 @@
     return kExitFailure;
   }
   std::printf("One node, three engines, a cache store, an action server and the platform's stand-in.\n\n");
-  if (!runTour(port.value(), site)) {
+  if (!runExampleRequests(port.value(), site)) {
     return kExitFailure;
   }
-  if (stay > absl::ZeroDuration()) {
-    printWhatToTry(port.value());
+  if (stay_up_time > absl::ZeroDuration()) {
+    printExampleCommands(port.value());
     std::fflush(stdout);
-    waitForInterrupt(stay);
+    waitForInterrupt(stay_up_time);
   }
   return kExitSuccess;
 }
--- a/src/cli/demo_site.cc
+++ b/src/cli/demo_site.cc
@@ -13,7 +13,7 @@
 constexpr const char* kZone = "zone-a";
 constexpr const char* kRegion = "region-1";
 constexpr size_t kEngineCount = 3;
-constexpr absl::Duration kStartLimit = absl::Seconds(10);
+constexpr absl::Duration kStartTimeout = absl::Seconds(10);
 constexpr absl::Duration kStartPollInterval = absl::Milliseconds(20);
 // A demonstration on loopback keeps no secrets; real sites set their own.
 constexpr const char* kDemoPeerSecret = "0f6a1c9be2d84375a9b0c7d8e1f203140f6a1c9be2d84375a9b0c7d8e1f20314";
@@ -72,7 +72,7 @@
   }
 }
 
-Result<void> DemoSite::startStandIns() {
+Result<void> DemoSite::startEmulators() {
   emulator::PlatformSettings platform_settings;
   platform_settings.machine_list_lag = absl::ZeroDuration();
   platform_ = std::make_unique<emulator::PlatformServer>(platform_settings);
@@ -112,7 +112,7 @@
 }
 
 Result<void> DemoSite::waitUntilReady() {
-  const absl::Time limit = absl::Now() + kStartLimit;
+  const absl::Time limit = absl::Now() + kStartTimeout;
   while (!node_->ready() || node_->answeringEngines() < kEngineCount) {
     if (absl::Now() > limit) {
       return fail(ErrorCode::kDeadlineExceeded, "the node has no policy or too few engines");
@@ -123,14 +123,14 @@
 }
 
 Result<uint16_t> DemoSite::start() {
-  BOOST_OUTCOME_TRYV(startStandIns());
+  BOOST_OUTCOME_TRYV(startEmulators());
   node_ = std::make_unique<node::Node>(demoSettings(platform_address_), demoPolicy());
   BOOST_OUTCOME_TRY(ports, node_->start());
   BOOST_OUTCOME_TRYV(waitUntilReady());
   return ports.callers;
 }
 
-uint64_t DemoSite::actionRuns() {
+uint64_t DemoSite::actionRunCount() {
   return action_server_->runs().totals().runs;
 }
 
--- a/src/cli/demo_site.h
+++ b/src/cli/demo_site.h
@@ -31,10 +31,10 @@
   Result<uint16_t> start();
 
   // How often the action server ran the actions it was sent, whatever their keys.
-  uint64_t actionRuns();
+  uint64_t actionRunCount();
 
  private:
-  Result<void> startStandIns();
+  Result<void> startEmulators();
   Result<void> startEngine(const std::string& name);
   Result<void> waitUntilReady();
 
--- a/src/cli/emulate_command.cc
+++ b/src/cli/emulate_command.cc
@@ -24,7 +24,7 @@
 constexpr int kExitSuccess = 0;
 constexpr int kExitFailure = 1;
 constexpr int kExitMisuse = 2;
-constexpr absl::Duration kLongestWait = absl::Seconds(60);
+constexpr absl::Duration kMaxSignalWait = absl::Seconds(60);
 
 // Reads and parses a file; prints its faults. Nothing on any fault.
 template <class T>
@@ -54,7 +54,7 @@
 
 // True when a stop signal came before `deadline`.
 bool waitForStop(const sigset_t& signals, absl::Time deadline) {
-  const absl::Duration wait = std::clamp(deadline - absl::Now(), absl::ZeroDuration(), kLongestWait);
+  const absl::Duration wait = std::clamp(deadline - absl::Now(), absl::ZeroDuration(), kMaxSignalWait);
   const timespec timeout = absl::ToTimespec(wait);
   return sigtimedwait(&signals, nullptr, &timeout) > 0;
 }
--- a/src/cli/load_command.cc
+++ b/src/cli/load_command.cc
@@ -19,9 +19,9 @@
 namespace quincewick::cli {
 namespace {
 
-constexpr double kLargestRate = 100'000.0;
-constexpr double kLongestSeconds = 86'400.0;
-constexpr uint32_t kMostWorkers = 4096;
+constexpr double kMaxRequestsPerSecond = 100'000.0;
+constexpr double kMaxSeconds = 86'400.0;
+constexpr uint32_t kMaxWorkers = 4096;
 
 struct LoadSettings {
   loadgen::Workload workload;
@@ -76,8 +76,8 @@
 
 Result<nlohmann::json> readJsonFile(const std::string& path) {
   std::ifstream file(path);
-  constexpr bool throw_nothing = false;
-  nlohmann::json json = nlohmann::json::parse(file, nullptr, throw_nothing);
+  constexpr bool allow_exceptions = false;
+  nlohmann::json json = nlohmann::json::parse(file, nullptr, allow_exceptions);
   if (!json.is_object()) {
     return fail(ErrorCode::kInvalidArgument, absl::StrCat(path, " is not a result of this command"));
   }
@@ -88,16 +88,16 @@
   BOOST_OUTCOME_TRY(targets, requiredFlag(flags, "target"));
   BOOST_OUTCOME_TRY(addresses, loadgen::parseAddresses(targets));
   driver.targets = std::move(addresses);
-  BOOST_OUTCOME_TRY(seconds, boundedNumber(flags, "seconds", kLongestSeconds));
+  BOOST_OUTCOME_TRY(seconds, boundedNumber(flags, "seconds", kMaxSeconds));
   driver.length = absl::Seconds(seconds);
-  BOOST_OUTCOME_TRY(rate, boundedNumber(flags, "rate", kLargestRate));
+  BOOST_OUTCOME_TRY(rate, boundedNumber(flags, "rate", kMaxRequestsPerSecond));
   driver.rate = rate;
-  BOOST_OUTCOME_TRY(patience, boundedNumber(flags, "patience", kLongestSeconds));
+  BOOST_OUTCOME_TRY(patience, boundedNumber(flags, "patience", kMaxSeconds));
   driver.patience = absl::Seconds(patience);
   driver.seed = flags["seed"].as<uint64_t>();
   driver.workers = flags["workers"].as<uint32_t>();
-  if (driver.workers == 0 || driver.workers > kMostWorkers) {
-    return fail(ErrorCode::kInvalidArgument, absl::StrCat("--workers must be from 1 to ", kMostWorkers));
+  if (driver.workers == 0 || driver.workers > kMaxWorkers) {
+    return fail(ErrorCode::kInvalidArgument, absl::StrCat("--workers must be from 1 to ", kMaxWorkers));
   }
   if (flags.count("key") > 0) {
     driver.key = flags["key"].as<std::string>();
@@ -157,17 +157,17 @@
   return outcome::success();
 }
 
-int runWith(const cxxopts::ParseResult& flags) {
+int runWithFlags(const cxxopts::ParseResult& flags) {
   const Result<LoadSettings> settings = readSettings(flags);
   if (settings.has_error()) {
     std::cerr << "quincewick load: " << settings.error().message << "\n";
     return kExitMisuse;
   }
-  const LoadSettings& chosen = settings.value();
-  const loadgen::RunRecord record = loadgen::runLoad(chosen.workload, chosen.driver);
+  const LoadSettings& load_settings = settings.value();
+  const loadgen::RunRecord record = loadgen::runLoad(load_settings.workload, load_settings.driver);
   const nlohmann::json result =
-      loadgen::summarise(chosen.workload, chosen.driver, chosen.description, record);
-  const Result<void> written = writeAll(chosen, result);
+      loadgen::summarise(load_settings.workload, load_settings.driver, load_settings.description, record);
+  const Result<void> written = writeAll(load_settings, result);
   if (written.has_error()) {
     std::cerr << "quincewick load: " << written.error().message << "\n";
     return kExitFailure;
@@ -190,7 +190,7 @@
       std::cout << options.help();
       return kExitSuccess;
     }
-    return runWith(flags);
+    return runWithFlags(flags);
   } catch (const cxxopts::exceptions::exception& exception) {
     std::cerr << "quincewick load: " << exception.what() << "; see --help\n";
     return kExitMisuse;
--- a/src/cli/serve_command.cc
+++ b/src/cli/serve_command.cc
@@ -23,7 +23,7 @@
 
 // Reads and parses a file; prints every fault of it.
 template <class T>
-std::optional<T> load(const std::string& path, configuration::Parsed<T> (*parse)(const std::string&)) {
+std::optional<T> parseFile(const std::string& path, configuration::Parsed<T> (*parse)(const std::string&)) {
   const Result<std::string> text = readTextFile(path);
   if (text.has_error()) {
     std::fprintf(stderr, "quincewick serve: %s\n", text.error().message.c_str());
@@ -73,13 +73,13 @@
                  configuration::printDiagnostics(settings_file, settings.diagnostics).c_str());
     return kExitMisuse;
   }
-  const auto read_again = [settings_file]() -> std::optional<gateway::GatewaySettings> {
+  const auto reload_settings = [settings_file]() -> std::optional<gateway::GatewaySettings> {
     const Result<std::string> changed = readTextFile(settings_file);
     return changed.has_value() ? gateway::parseGatewaySettings(changed.value()).value : std::nullopt;
   };
   gateway::Gateway gateway(std::move(*settings.value), platform_dialect::makePlatformDialect(),
                            STDOUT_FILENO);
-  gateway.setReload(read_again);
+  gateway.setReload(reload_settings);
   const Result<void> started = gateway.start();
   if (started.has_error()) {
     std::fprintf(stderr, "quincewick serve: %s\n", started.error().message.c_str());
@@ -89,20 +89,20 @@
   return kExitSuccess;
 }
 
-int serveFrom(const std::string& settings_file) {
+int serveSettingsFile(const std::string& settings_file) {
   const Result<std::string> text = readTextFile(settings_file);
   if (text.has_value() && gateway::looksLikeGatewaySettings(text.value())) {
     return serveGateway(settings_file, text.value());
   }
   catchInterrupts();
-  const auto settings = load(settings_file, configuration::parseNodeSettings);
+  const auto settings = parseFile(settings_file, configuration::parseNodeSettings);
   if (!settings.has_value()) {
     return kExitMisuse;
   }
   setLogLevel(settings->log_level);
   std::optional<configuration::Policy> initial_policy;
   if (settings->initial_policy_file.has_value()) {
-    initial_policy = load(*settings->initial_policy_file, configuration::parsePolicy);
+    initial_policy = parseFile(*settings->initial_policy_file, configuration::parsePolicy);
     if (!initial_policy.has_value()) {
       return kExitMisuse;
     }
@@ -126,7 +126,7 @@
       std::fputs("quincewick serve: --settings FILE is needed\n", stderr);
       return kExitMisuse;
     }
-    return serveFrom(flags["settings"].as<std::string>());
+    return serveSettingsFile(flags["settings"].as<std::string>());
   } catch (const cxxopts::exceptions::exception& error) {
     std::fprintf(stderr, "quincewick serve: %s\n", error.what());
     return kExitMisuse;
--- a/src/cli/simulate_command.cc
+++ b/src/cli/simulate_command.cc
@@ -18,11 +18,12 @@
 namespace quincewick::cli {
 namespace {
 
-constexpr int kExitKept = 0;
-constexpr int kExitViolated = 1;
-constexpr int kExitMisused = 2;
-constexpr absl::Duration kLongestDefaultWarmUp = absl::Seconds(10);
-constexpr double kRateForNode = 27;  // requests a second: the share of a node in the size to design for
+constexpr int kExitSuccess = 0;
+constexpr int kExitViolations = 1;
+constexpr int kExitMisuse = 2;
+constexpr absl::Duration kMaxDefaultWarmUp = absl::Seconds(10);
+constexpr double kDefaultRequestsPerSecondPerNode =
+    27;  // requests a second: the share of a node in the size to design for
 
 cxxopts::Options makeOptions() {
   cxxopts::Options options("quincewick simulate", "Runs a site of hollow nodes and engines on virtual time.");
@@ -81,11 +82,11 @@
   options.topology.regions = parsed["regions"].as<uint32_t>();
   options.seed = parsed["seed"].as<uint64_t>();
   const double rate = parsed["rate"].as<double>();
-  options.rate = rate == 0 ? kRateForNode * options.topology.nodes : rate;
+  options.rate = rate == 0 ? kDefaultRequestsPerSecondPerNode * options.topology.nodes : rate;
   options.changes_per_day = parsed["changes"].as<double>();
   BOOST_OUTCOME_TRY(duration, parseDuration(parsed["duration"].as<std::string>()));
   options.duration = duration;
-  options.warm_up = std::min(kLongestDefaultWarmUp, options.duration / 4);
+  options.warm_up = std::min(kMaxDefaultWarmUp, options.duration / 4);
   if (parsed.count("warm-up") > 0) {
     BOOST_OUTCOME_TRY(warm_up, parseDuration(parsed["warm-up"].as<std::string>()));
     options.warm_up = warm_up;
@@ -105,7 +106,7 @@
 
 int misuse(const std::string& message) {
   std::fprintf(stderr, "quincewick simulate: %s\n", message.c_str());
-  return kExitMisused;
+  return kExitMisuse;
 }
 
 int simulate(const cxxopts::ParseResult& parsed) {
@@ -123,7 +124,7 @@
   }
   const auto write = output == "json" ? simulation::writeJson : simulation::writeTable;
   std::cout << write(options.value(), report.value());
-  return report.value().violations.total() == 0 ? kExitKept : kExitViolated;
+  return report.value().violations.total() == 0 ? kExitSuccess : kExitViolations;
 }
 
 }  // namespace
@@ -134,7 +135,7 @@
     const cxxopts::ParseResult parsed = options.parse(argc, argv);
     if (parsed.count("help") > 0) {
       std::cout << options.help() << "\n";
-      return kExitKept;
+      return kExitSuccess;
     }
     if (!parsed.unmatched().empty()) {
       return misuse("unknown argument " + parsed.unmatched().front());
--- a/src/http/caller_api.cc
+++ b/src/http/caller_api.cc
@@ -15,8 +15,8 @@
 namespace quincewick::http {
 namespace {
 
-constexpr absl::Duration kReadPatience = absl::Seconds(1);
-constexpr size_t kLongestHeaderValue = 256;
+constexpr absl::Duration kReadTimeout = absl::Seconds(1);
+constexpr size_t kMaxHeaderValueBytes = 256;
 constexpr const char* kJsonType = "application/json";
 constexpr const char* kEventStreamType = "text/event-stream";
 
@@ -29,7 +29,7 @@
 
 Result<std::string> boundedHeader(const httplib::Request& request, const char* name) {
   std::string value = request.get_header_value(name);
-  if (value.size() > kLongestHeaderValue) {
+  if (value.size() > kMaxHeaderValueBytes) {
     return fail(ErrorCode::kInvalidArgument, std::string("header ") + name + " is too long");
   }
   return value;
@@ -71,11 +71,11 @@
 }
 
 // Writes what has come to the caller. Returns false when the caller is gone.
-bool writeEvents(const AnswerHeader& header, const std::vector<StreamEvent>& events,
+bool writeEvents(const ResponseMetadata& metadata, const std::vector<StreamEvent>& events,
                  httplib::DataSink& sink) {
   std::string text;
   for (const StreamEvent& event : events) {
-    text += serverSentEvent(header, event);
+    text += serverSentEvent(metadata, event);
   }
   if (!sink.write(text.data(), text.size())) {
     return false;
@@ -86,15 +86,15 @@
   return true;
 }
 
-void streamAnswer(const AnswerHeader& header, const std::shared_ptr<AnswerReader>& reader,
-                  httplib::Response& response) {
+void streamResponse(const ResponseMetadata& metadata, const std::shared_ptr<ResponseReader>& reader,
+                    httplib::Response& response) {
   response.set_header("Cache-Control", "no-cache");
-  auto provide = [header, reader](size_t /*offset*/, httplib::DataSink& sink) {
-    const std::vector<StreamEvent> events = reader->next(kReadPatience);
+  auto provide = [metadata, reader](size_t /*offset*/, httplib::DataSink& sink) {
+    const std::vector<StreamEvent> events = reader->next(kReadTimeout);
     if (events.empty()) {
       return sink.is_writable();
     }
-    return writeEvents(header, events, sink);
+    return writeEvents(metadata, events, sink);
   };
   auto release = [reader](bool success) {
     if (!success) {
@@ -104,17 +104,18 @@
   response.set_chunked_content_provider(kEventStreamType, provide, release);
 }
 
-void sendWholeAnswer(const AnswerHeader& header, AnswerReader& reader, httplib::Response& response) {
+void sendCompleteResponse(const ResponseMetadata& metadata, ResponseReader& reader,
+                          httplib::Response& response) {
   std::string text;
   while (true) {
-    for (const StreamEvent& event : reader.next(kReadPatience)) {
+    for (const StreamEvent& event : reader.next(kReadTimeout)) {
       if (const auto* token = std::get_if<TokenEvent>(&event)) {
         text += token->text;
       } else if (const auto* end = std::get_if<EndEvent>(&event)) {
-        response.set_content(wholeAnswer(header, text, *end), kJsonType);
+        response.set_content(completeResponseBody(metadata, text, *end), kJsonType);
         return;
       } else {
-        sendError(std::get<CutEvent>(event).error, header.request, response);
+        sendError(std::get<CutEvent>(event).error, metadata.request, response);
         return;
       }
     }
@@ -130,13 +131,14 @@
     withCaller(request, response, [&](const CallContext& context) -> Result<void> {
       BOOST_OUTCOME_TRY(completion, parseCompletionRequest(shape, request.body));
       const bool stream = completion.stream;
-      const AnswerHeader header{shape, context.id, completion.model, absl::ToUnixSeconds(context.arrival)};
+      const ResponseMetadata metadata{shape, context.id, completion.model,
+                                      absl::ToUnixSeconds(context.arrival)};
       BOOST_OUTCOME_TRY(call, makeCompletionCall(context, request, std::move(completion)));
       BOOST_OUTCOME_TRY(reader, backend_.complete(call));
       if (stream) {
-        streamAnswer(header, reader, response);
+        streamResponse(metadata, reader, response);
       } else {
-        sendWholeAnswer(header, *reader, response);
+        sendCompleteResponse(metadata, *reader, response);
       }
       return outcome::success();
     });
@@ -148,9 +150,9 @@
       const RequestId original(request.matches[1].str());
       BOOST_OUTCOME_TRY(last_offset, lastEventId(request, original));
       BOOST_OUTCOME_TRY(reader, backend_.reconnect(original, context.tenant, last_offset));
-      const AnswerHeader header{CompletionShape::kChat, original, ModelName(),
-                                absl::ToUnixSeconds(context.arrival)};
-      streamAnswer(header, reader, response);
+      const ResponseMetadata metadata{CompletionShape::kChat, original, ModelName(),
+                                      absl::ToUnixSeconds(context.arrival)};
+      streamResponse(metadata, reader, response);
       return outcome::success();
     });
   }
@@ -222,7 +224,7 @@
   CallerBackend& backend_;
 };
 
-void sendUnknownPath(const httplib::Request& request, httplib::Response& response) {
+void sendDefaultError(const httplib::Request& request, httplib::Response& response) {
   if (!response.body.empty()) {
     return;
   }
@@ -262,7 +264,7 @@
   server.Get("/metrics", [&backend](const httplib::Request&, httplib::Response& response) {
     response.set_content(backend.metricsText(), "text/plain; version=0.0.4");
   });
-  server.set_error_handler(sendUnknownPath);
+  server.set_error_handler(sendDefaultError);
 }
 
 }  // namespace quincewick::http
--- a/src/http/caller_backend.h
+++ b/src/http/caller_backend.h
@@ -49,13 +49,13 @@
 };
 
 // The reading side of one answer. One thread reads.
-class AnswerReader {
+class ResponseReader {
  public:
-  virtual ~AnswerReader() = default;
+  virtual ~ResponseReader() = default;
 
-  // Waits for events, and returns all that are there, in order. Empty: nothing came for `patience`; ask
+  // Waits for events, and returns all that are there, in order. Empty: nothing came for `timeout`; ask
   // again. After an EndEvent or CutEvent there is nothing more.
-  virtual std::vector<StreamEvent> next(absl::Duration patience) = 0;
+  virtual std::vector<StreamEvent> next(absl::Duration timeout) = 0;
 
   // The caller is gone: stops the engine's work. Further events are dropped.
   virtual void abandon() = 0;
@@ -73,12 +73,12 @@
   virtual RequestId newRequestId() = 0;
 
   // Waits until the first event of the answer is there, or the request is refused or has failed.
-  virtual Result<std::shared_ptr<AnswerReader>> complete(const CompletionCall& call) = 0;
+  virtual Result<std::shared_ptr<ResponseReader>> complete(const CompletionCall& call) = 0;
 
   // Returns the rest of an answer after the token at `last_offset`, or all of it. kNotFound if this site no
   // longer holds it.
-  virtual Result<std::shared_ptr<AnswerReader>> reconnect(const RequestId& request, const TenantId& tenant,
-                                                          std::optional<uint64_t> last_offset) = 0;
+  virtual Result<std::shared_ptr<ResponseReader>> reconnect(const RequestId& request, const TenantId& tenant,
+                                                            std::optional<uint64_t> last_offset) = 0;
 
   // Runs the action at most once for its tenant and key.
   virtual Result<ActionAnswer> runAction(const ActionCall& call) = 0;
--- a/src/http/completion_request.cc
+++ b/src/http/completion_request.cc
@@ -9,14 +9,14 @@
 
 using Json = nlohmann::json;
 
-constexpr uint32_t kDefaultMaximumTokens = 256;
-constexpr uint32_t kLargestMaximumTokens = 65'536;
+constexpr uint32_t kDefaultMaxTokens = 256;
+constexpr uint32_t kMaxTokensLimit = 65'536;
 
 auto invalid(std::string message) {
   return fail(ErrorCode::kInvalidArgument, std::move(message));
 }
 
-Result<std::string> requiredText(const Json& object, const char* field) {
+Result<std::string> stringField(const Json& object, const char* field) {
   const auto entry = object.find(field);
   if (entry == object.end() || !entry->is_string()) {
     return invalid(std::string("'") + field + "' must be a string");
@@ -41,7 +41,7 @@
     if (!part.is_object()) {
       return invalid("a content part must be an object");
     }
-    BOOST_OUTCOME_TRY(part_text, requiredText(part, "text"));
+    BOOST_OUTCOME_TRY(part_text, stringField(part, "text"));
     text += part_text;
   }
   return text;
@@ -57,7 +57,7 @@
     if (!message.is_object()) {
       return invalid("a message must be an object");
     }
-    BOOST_OUTCOME_TRY(role, requiredText(message, "role"));
+    BOOST_OUTCOME_TRY(role, stringField(message, "role"));
     BOOST_OUTCOME_TRY(content, messageContent(message));
     absl::StrAppend(&prompt, "<|", role, "|>", content);
   }
@@ -70,19 +70,18 @@
     if (entry == body.end() || entry->is_null()) {
       continue;
     }
-    if (!entry->is_number_unsigned() || *entry == 0U || *entry > kLargestMaximumTokens) {
-      return invalid(std::string("'") + field + "' must be from 1 to " +
-                     std::to_string(kLargestMaximumTokens));
+    if (!entry->is_number_unsigned() || *entry == 0U || *entry > kMaxTokensLimit) {
+      return invalid(std::string("'") + field + "' must be from 1 to " + std::to_string(kMaxTokensLimit));
     }
     return entry->get<uint32_t>();
   }
-  return kDefaultMaximumTokens;
+  return kDefaultMaxTokens;
 }
 
-Result<bool> optionalFlag(const Json& body, const char* field, bool otherwise) {
+Result<bool> booleanField(const Json& body, const char* field, bool default_value) {
   const auto entry = body.find(field);
   if (entry == body.end() || entry->is_null()) {
-    return otherwise;
+    return default_value;
   }
   if (!entry->is_boolean()) {
     return invalid(std::string("'") + field + "' must be true or false");
@@ -100,22 +99,22 @@
   }
   CompletionRequest request;
   request.shape = shape;
-  BOOST_OUTCOME_TRY(model, requiredText(json, "model"));
+  BOOST_OUTCOME_TRY(model, stringField(json, "model"));
   request.model = ModelName(std::move(model));
   if (json.contains("adapter")) {
-    BOOST_OUTCOME_TRY(adapter, requiredText(json, "adapter"));
+    BOOST_OUTCOME_TRY(adapter, stringField(json, "adapter"));
     request.adapter = AdapterName(std::move(adapter));
   }
   if (shape == CompletionShape::kChat) {
     BOOST_OUTCOME_TRY(prompt, renderMessages(json));
     request.prompt = std::move(prompt);
   } else {
-    BOOST_OUTCOME_TRY(prompt, requiredText(json, "prompt"));
+    BOOST_OUTCOME_TRY(prompt, stringField(json, "prompt"));
     request.prompt = std::move(prompt);
   }
   BOOST_OUTCOME_TRY(maximum_tokens, maximumTokens(json));
   request.maximum_tokens = maximum_tokens;
-  BOOST_OUTCOME_TRY(stream, optionalFlag(json, "stream", false));
+  BOOST_OUTCOME_TRY(stream, booleanField(json, "stream", false));
   request.stream = stream;
   return request;
 }
--- a/src/http/completion_response.cc
+++ b/src/http/completion_response.cc
@@ -25,66 +25,67 @@
           {"prompt_tokens_details", {{"cached_tokens", usage.cached_tokens}}}};
 }
 
-Json envelope(const AnswerHeader& header, bool is_chunk) {
-  const bool is_chat = header.shape == CompletionShape::kChat;
+Json envelope(const ResponseMetadata& metadata, bool is_chunk) {
+  const bool is_chat = metadata.shape == CompletionShape::kChat;
   const char* object = "text_completion";
   if (is_chat) {
     object = is_chunk ? "chat.completion.chunk" : "chat.completion";
   }
-  return {{"id", header.request.value()},
+  return {{"id", metadata.request.value()},
           {"object", object},
-          {"created", header.created_unix_seconds},
-          {"model", header.model.value()}};
+          {"created", metadata.created_unix_seconds},
+          {"model", metadata.model.value()}};
 }
 
-Json chunk(const AnswerHeader& header, const std::string& text, const Json& finish_reason) {
+Json chunk(const ResponseMetadata& metadata, const std::string& text, const Json& finish_reason) {
   Json choice = {{"index", 0}, {"finish_reason", finish_reason}};
-  if (header.shape == CompletionShape::kChat) {
+  if (metadata.shape == CompletionShape::kChat) {
     choice["delta"] = text.empty() ? Json::object() : Json{{"content", text}};
   } else {
     choice["text"] = text;
   }
-  Json body = envelope(header, true);
+  Json body = envelope(metadata, true);
   body["choices"] = Json::array({choice});
   return body;
 }
 
-std::string tokenText(const AnswerHeader& header, const TokenEvent& token) {
-  const std::string id = streams::formatEventId({header.request, token.offset});
-  return "id: " + id + "\ndata: " + dump(chunk(header, token.text, nullptr)) + "\n\n";
+std::string formatTokenEvent(const ResponseMetadata& metadata, const TokenEvent& token) {
+  const std::string id = streams::formatEventId({metadata.request, token.offset});
+  return "id: " + id + "\ndata: " + dump(chunk(metadata, token.text, nullptr)) + "\n\n";
 }
 
-std::string endText(const AnswerHeader& header, const EndEvent& end) {
-  Json body = chunk(header, "", finishReasonName(end.reason));
+std::string formatEndEvent(const ResponseMetadata& metadata, const EndEvent& end) {
+  Json body = chunk(metadata, "", finishReasonName(end.reason));
   body["usage"] = usageJson(end.usage);
   // No id of its own: a caller that lost the connection here comes back with the last token's.
   return "data: " + dump(body) + "\n\ndata: [DONE]\n\n";
 }
 
-std::string cutText(const AnswerHeader& header, const CutEvent& cut) {
-  return "event: error\ndata: " + errorBody(cut.error, header.request) + "\n\n";
+std::string formatErrorEvent(const ResponseMetadata& metadata, const CutEvent& cut) {
+  return "event: error\ndata: " + errorBody(cut.error, metadata.request) + "\n\n";
 }
 
 }  // namespace
 
-std::string serverSentEvent(const AnswerHeader& header, const StreamEvent& event) {
+std::string serverSentEvent(const ResponseMetadata& metadata, const StreamEvent& event) {
   if (const auto* token = std::get_if<TokenEvent>(&event)) {
-    return tokenText(header, *token);
+    return formatTokenEvent(metadata, *token);
   }
   if (const auto* end = std::get_if<EndEvent>(&event)) {
-    return endText(header, *end);
+    return formatEndEvent(metadata, *end);
   }
-  return cutText(header, std::get<CutEvent>(event));
+  return formatErrorEvent(metadata, std::get<CutEvent>(event));
 }
 
-std::string wholeAnswer(const AnswerHeader& header, const std::string& text, const EndEvent& end) {
+std::string completeResponseBody(const ResponseMetadata& metadata, const std::string& text,
+                                 const EndEvent& end) {
   Json choice = {{"index", 0}, {"finish_reason", finishReasonName(end.reason)}};
-  if (header.shape == CompletionShape::kChat) {
+  if (metadata.shape == CompletionShape::kChat) {
     choice["message"] = {{"role", "assistant"}, {"content", text}};
   } else {
     choice["text"] = text;
   }
-  Json body = envelope(header, false);
+  Json body = envelope(metadata, false);
   body["choices"] = Json::array({choice});
   body["usage"] = usageJson(end.usage);
   return dump(body);
--- a/src/http/completion_response.h
+++ b/src/http/completion_response.h
@@ -9,7 +9,7 @@
 namespace quincewick::http {
 
 // What stays the same in all events of one answer.
-struct AnswerHeader {
+struct ResponseMetadata {
   CompletionShape shape = CompletionShape::kText;
   RequestId request;
   ModelName model;
@@ -19,9 +19,10 @@
 // One stream event as server-sent event text. A token's event id names the request and the offset, so that a
 // caller can come back to any node with the last one it has; the end is followed by "data: [DONE]"; a cut is
 // an "error" event.
-std::string serverSentEvent(const AnswerHeader& header, const StreamEvent& event);
+std::string serverSentEvent(const ResponseMetadata& metadata, const StreamEvent& event);
 
 // A whole answer as one JSON object.
-std::string wholeAnswer(const AnswerHeader& header, const std::string& text, const EndEvent& end);
+std::string completeResponseBody(const ResponseMetadata& metadata, const std::string& text,
+                                 const EndEvent& end);
 
 }  // namespace quincewick::http
--- a/src/http/http_server.cc
+++ b/src/http/http_server.cc
@@ -9,9 +9,9 @@
 
 // The library listens with a backlog of 5, which a burst of connections overflows.
 constexpr int kListenBacklog = 1024;
-constexpr size_t kKeepAliveRequests = 1'000'000;
+constexpr size_t kMaxRequestsPerConnection = 1'000'000;
 // Also how long a stop may wait for an idle connection.
-constexpr time_t kKeepAliveSeconds = 5;
+constexpr time_t kKeepAliveTimeoutSeconds = 5;
 
 std::unique_ptr<httplib::Server> makeServer(const std::optional<TlsFiles>& tls) {
   if (tls.has_value()) {
@@ -37,8 +37,8 @@
 
 void HttpServer::applyOptions(const HttpServerOptions& options) {
   server_->set_tcp_nodelay(true);
-  server_->set_keep_alive_max_count(kKeepAliveRequests);
-  server_->set_keep_alive_timeout(kKeepAliveSeconds);
+  server_->set_keep_alive_max_count(kMaxRequestsPerConnection);
+  server_->set_keep_alive_timeout(kKeepAliveTimeoutSeconds);
   server_->set_payload_max_length(options.maximum_body_bytes);
   const size_t worker_threads = options.worker_threads;
   server_->new_task_queue = [worker_threads] { return new httplib::ThreadPool(worker_threads); };
--- a/src/http/operator_api.cc
+++ b/src/http/operator_api.cc
@@ -132,7 +132,7 @@
     sendJson(toJson(explanation.value()), response);
   }
 
-  void postControl(const Result<void>& result, const RequestId& id, httplib::Response& response) {
+  void sendControlResult(const Result<void>& result, const RequestId& id, httplib::Response& response) {
     if (!result) {
       sendError(result.error(), id, response);
       return;
@@ -148,8 +148,8 @@
 
 // Wraps a handler: checks the key's role first. The handler gets the operator's name.
 template <class Handler>
-httplib::Server::Handler guarded(const std::shared_ptr<OperatorApi>& api, OperatorAction action,
-                                 Handler handler) {
+httplib::Server::Handler withAuthorization(const std::shared_ptr<OperatorApi>& api, OperatorAction action,
+                                           Handler handler) {
   return [api, action, handler](const httplib::Request& request, httplib::Response& response) {
     const RequestId id = makeRequestId();
     const Result<std::string> name = api->backend().authorize(bearerKey(request), action);
@@ -168,46 +168,51 @@
   using Request = httplib::Request;
   using Response = httplib::Response;
   server.Get("/v1/operator/policy",
-             guarded(api, OperatorAction::kRead,
-                     [](OperatorApi& self, const Request&, const RequestId&, const std::string&,
-                        Response& response) { self.getPolicy(response); }));
+             withAuthorization(api, OperatorAction::kRead,
+                               [](OperatorApi& self, const Request&, const RequestId&, const std::string&,
+                                  Response& response) { self.getPolicy(response); }));
   server.Get("/v1/operator/status",
-             guarded(api, OperatorAction::kRead,
-                     [](OperatorApi& self, const Request&, const RequestId&, const std::string&,
-                        Response& response) { self.getStatus(response); }));
-  server.Get("/v1/operator/changes",
-             guarded(api, OperatorAction::kRead,
-                     [](OperatorApi& self, const Request& request, const RequestId& id, const std::string&,
-                        Response& response) { self.getChanges(request, id, response); }));
-  server.Post("/v1/operator/explain",
-              guarded(api, OperatorAction::kRead,
-                      [](OperatorApi& self, const Request& request, const RequestId& id, const std::string&,
-                         Response& response) { self.postExplain(request, id, response); }));
+             withAuthorization(api, OperatorAction::kRead,
+                               [](OperatorApi& self, const Request&, const RequestId&, const std::string&,
+                                  Response& response) { self.getStatus(response); }));
+  server.Get(
+      "/v1/operator/changes",
+      withAuthorization(api, OperatorAction::kRead,
+                        [](OperatorApi& self, const Request& request, const RequestId& id, const std::string&,
+                           Response& response) { self.getChanges(request, id, response); }));
+  server.Post(
+      "/v1/operator/explain",
+      withAuthorization(api, OperatorAction::kRead,
+                        [](OperatorApi& self, const Request& request, const RequestId& id, const std::string&,
+                           Response& response) { self.postExplain(request, id, response); }));
   // The role that a change needs depends on its contents: any known key may ask.
-  server.Post("/v1/operator/changes",
-              guarded(api, OperatorAction::kRead,
-                      [](OperatorApi& self, const Request& request, const RequestId& id, const std::string&,
-                         Response& response) { self.postChange(request, id, response); }));
-  // Going back may bring back operators, so it needs the greatest role.
   server.Post(
-      "/v1/operator/rollback",
-      guarded(api, OperatorAction::kChangeOperators,
-              [](OperatorApi& self, const Request& request, const RequestId& id, const std::string& name,
-                 Response& response) { self.postRollback(request, id, name, response); }));
+      "/v1/operator/changes",
+      withAuthorization(api, OperatorAction::kRead,
+                        [](OperatorApi& self, const Request& request, const RequestId& id, const std::string&,
+                           Response& response) { self.postChange(request, id, response); }));
+  // Going back may bring back operators, so it needs the greatest role.
+  server.Post("/v1/operator/rollback",
+              withAuthorization(
+                  api, OperatorAction::kChangeOperators,
+                  [](OperatorApi& self, const Request& request, const RequestId& id, const std::string& name,
+                     Response& response) { self.postRollback(request, id, name, response); }));
   server.Post(R"(/v1/operator/back_ends/([^/]+)/drain)",
-              guarded(api, OperatorAction::kControl,
-                      [](OperatorApi& self, const Request& request, const RequestId& id, const std::string&,
-                         Response& response) {
-                        self.postControl(self.backend().drain(BackEndId(request.matches[1].str())), id,
-                                         response);
-                      }));
+              withAuthorization(api, OperatorAction::kControl,
+                                [](OperatorApi& self, const Request& request, const RequestId& id,
+                                   const std::string&, Response& response) {
+                                  self.sendControlResult(
+                                      self.backend().drain(BackEndId(request.matches[1].str())), id,
+                                      response);
+                                }));
   server.Post(R"(/v1/operator/back_ends/([^/]+)/resume)",
-              guarded(api, OperatorAction::kControl,
-                      [](OperatorApi& self, const Request& request, const RequestId& id, const std::string&,
-                         Response& response) {
-                        self.postControl(self.backend().resume(BackEndId(request.matches[1].str())), id,
-                                         response);
-                      }));
+              withAuthorization(api, OperatorAction::kControl,
+                                [](OperatorApi& self, const Request& request, const RequestId& id,
+                                   const std::string&, Response& response) {
+                                  self.sendControlResult(
+                                      self.backend().resume(BackEndId(request.matches[1].str())), id,
+                                      response);
+                                }));
 }
 
 }  // namespace quincewick::http
--- a/src/http/operator_json.cc
+++ b/src/http/operator_json.cc
@@ -8,7 +8,7 @@
 
 using Json = nlohmann::json;
 
-constexpr size_t kMaximumOperationSize = 128;
+constexpr size_t kMaxOperationIdBytes = 128;
 
 double seconds(absl::Duration duration) {
   return absl::ToDoubleSeconds(duration);
@@ -28,7 +28,7 @@
 
 OperationId readOperation(const Json& json) {
   const auto text = json.at("operation").get<std::string>();
-  if (text.empty() || text.size() > kMaximumOperationSize) {
+  if (text.empty() || text.size() > kMaxOperationIdBytes) {
     throw std::invalid_argument("operation must have 1 to 128 characters");
   }
   return OperationId(text);
--- a/src/node/answer_session.h
+++ b/src/node/answer_session.h
@@ -61,7 +61,7 @@
 
 // Drives a streams::AnswerStream: feeds it what engines and the caller do, and carries out what it asks for.
 // Owned jointly by the reader and by the attempts' tasks; make it with std::make_shared. Thread-safe.
-class AnswerSession : public http::AnswerReader, public std::enable_shared_from_this<AnswerSession> {
+class AnswerSession : public http::ResponseReader, public std::enable_shared_from_this<AnswerSession> {
  public:
   AnswerSession(const streams::AnswerOptions& options, engine::EngineRequest request_template,
                 std::shared_ptr<AttemptDirector> director, SessionResources resources, absl::Time deadline);
--- a/src/node/completion_service.cc
+++ b/src/node/completion_service.cc
@@ -164,7 +164,7 @@
   return makeSession(call, std::move(prepared), std::move(decision));
 }
 
-Result<std::shared_ptr<http::AnswerReader>> CompletionService::complete(const http::CompletionCall& call) {
+Result<std::shared_ptr<http::ResponseReader>> CompletionService::complete(const http::CompletionCall& call) {
   BOOST_OUTCOME_TRY(session, begin(call));
   session->open();
   const Result<void> first = awaitFirstEvent(*session, call, session->urgency());
@@ -172,7 +172,7 @@
     session->abandon();
     return outcome::failure(first.error());
   }
-  return std::shared_ptr<http::AnswerReader>(std::move(session));
+  return std::shared_ptr<http::ResponseReader>(std::move(session));
 }
 
 Result<void> CompletionService::awaitFirstEvent(AnswerSession& session, const http::CompletionCall& call,
@@ -186,20 +186,20 @@
   return session.awaitFirstEvent();
 }
 
-Result<std::shared_ptr<http::AnswerReader>> CompletionService::resume(streams::RecentAnswer answer,
-                                                                      uint64_t from_offset) {
+Result<std::shared_ptr<http::ResponseReader>> CompletionService::resume(streams::RecentAnswer answer,
+                                                                        uint64_t from_offset) {
   if (from_offset > answer.transcript.tokenCount()) {
     return fail(ErrorCode::kInvalidArgument, "the answer has no such offset", Execution::kRan);
   }
   if (answer.end.has_value()) {
-    return std::shared_ptr<http::AnswerReader>(
+    return std::shared_ptr<http::ResponseReader>(
         std::make_shared<FinishedAnswerReader>(answer.transcript, *answer.end, from_offset));
   }
   BOOST_OUTCOME_TRY(call, decodeCall(answer.request));
   call.arrival = resources_.clock();
   BOOST_OUTCOME_TRY(session, begin(call));
   session->resumeFrom(std::move(answer.transcript), from_offset);
-  return std::shared_ptr<http::AnswerReader>(std::move(session));
+  return std::shared_ptr<http::ResponseReader>(std::move(session));
 }
 
 }  // namespace quincewick::node
--- a/src/node/completion_service.h
+++ b/src/node/completion_service.h
@@ -46,10 +46,10 @@
       : options_(std::move(options)), resources_(std::move(resources)) {}
 
   // Blocks until the answer's first event. An error is the final answer to the request.
-  Result<std::shared_ptr<http::AnswerReader>> complete(const http::CompletionCall& call);
+  Result<std::shared_ptr<http::ResponseReader>> complete(const http::CompletionCall& call);
 
   // The rest of a kept answer, after the tokens before `from_offset`: what is held of it, then the engines'.
-  Result<std::shared_ptr<http::AnswerReader>> resume(streams::RecentAnswer answer, uint64_t from_offset);
+  Result<std::shared_ptr<http::ResponseReader>> resume(streams::RecentAnswer answer, uint64_t from_offset);
 
   // The request as decisions see it, for operators.
   Result<InferenceRequest> describe(const http::CompletionCall& call);
--- a/src/node/kept_answers.h
+++ b/src/node/kept_answers.h
@@ -38,7 +38,7 @@
 Result<http::CompletionCall> decodeCall(const std::string& bytes);
 
 // Gives the events of an answer that is complete.
-class FinishedAnswerReader : public http::AnswerReader {
+class FinishedAnswerReader : public http::ResponseReader {
  public:
   FinishedAnswerReader(const streams::Transcript& transcript, const EndEvent& end, uint64_t from_offset);
 
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -323,17 +323,18 @@
   return streams::makeRequestId(settings_.node_id, generator());
 }
 
-Result<std::shared_ptr<http::AnswerReader>> Node::complete(const http::CompletionCall& call) {
+Result<std::shared_ptr<http::ResponseReader>> Node::complete(const http::CompletionCall& call) {
   BOOST_OUTCOME_TRYV(refuseWhileLeaving());
-  Result<std::shared_ptr<http::AnswerReader>> answer = completions_.complete(call);
+  Result<std::shared_ptr<http::ResponseReader>> answer = completions_.complete(call);
   if (answer.has_error()) {
     metrics_.requestRefused(answer.error());
   }
   return answer;
 }
 
-Result<std::shared_ptr<http::AnswerReader>> Node::reconnect(const RequestId& request, const TenantId& tenant,
-                                                            std::optional<uint64_t> last_offset) {
+Result<std::shared_ptr<http::ResponseReader>> Node::reconnect(const RequestId& request,
+                                                              const TenantId& tenant,
+                                                              std::optional<uint64_t> last_offset) {
   BOOST_OUTCOME_TRYV(refuseWhileLeaving());
   BOOST_OUTCOME_TRY(answer, takeAnswer(request, tenant));
   const uint64_t from_offset = last_offset.has_value() ? *last_offset + 1 : 0;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -61,9 +61,9 @@
   // http::CallerBackend
   Result<TenantId> authenticate(std::string_view key) override;
   RequestId newRequestId() override;
-  Result<std::shared_ptr<http::AnswerReader>> complete(const http::CompletionCall& call) override;
-  Result<std::shared_ptr<http::AnswerReader>> reconnect(const RequestId& request, const TenantId& tenant,
-                                                        std::optional<uint64_t> last_offset) override;
+  Result<std::shared_ptr<http::ResponseReader>> complete(const http::CompletionCall& call) override;
+  Result<std::shared_ptr<http::ResponseReader>> reconnect(const RequestId& request, const TenantId& tenant,
+                                                          std::optional<uint64_t> last_offset) override;
   Result<http::ActionAnswer> runAction(const http::ActionCall& call) override;
   std::vector<ModelName> models(const TenantId& tenant) override;
   bool ready() override;
--- a/tests/loadgen/driver_test.cc
+++ b/tests/loadgen/driver_test.cc
@@ -43,7 +43,7 @@
   return events;
 }
 
-class FixedReader : public http::AnswerReader {
+class FixedReader : public http::ResponseReader {
  public:
   explicit FixedReader(std::vector<StreamEvent> events) : events_(std::move(events)) {}
   std::vector<StreamEvent> next(absl::Duration /*patience*/) override { return std::move(events_); }
@@ -69,7 +69,7 @@
 
   RequestId newRequestId() override { return RequestId("request"); }
 
-  Result<std::shared_ptr<http::AnswerReader>> complete(const http::CompletionCall& call) override {
+  Result<std::shared_ptr<http::ResponseReader>> complete(const http::CompletionCall& call) override {
     std::vector<StreamEvent> events = rightAnswer(call);
     if (isFaulty(fault_ == Fault::kSwap) && events.size() > 2) {
       std::swap(events[0], events[1]);
@@ -80,11 +80,11 @@
     if (isFaulty(fault_ == Fault::kCut)) {
       events.back() = CutEvent{Error{ErrorCode::kUnavailable, "engine lost", Execution::kUnknown}};
     }
-    return std::shared_ptr<http::AnswerReader>(std::make_unique<FixedReader>(std::move(events)));
+    return std::shared_ptr<http::ResponseReader>(std::make_unique<FixedReader>(std::move(events)));
   }
 
-  Result<std::shared_ptr<http::AnswerReader>> reconnect(const RequestId&, const TenantId&,
-                                                        std::optional<uint64_t>) override {
+  Result<std::shared_ptr<http::ResponseReader>> reconnect(const RequestId&, const TenantId&,
+                                                          std::optional<uint64_t>) override {
     return fail(ErrorCode::kNotFound, "not kept");
   }
 
