--- a/src/cli/check_command.cc
+++ b/src/cli/check_command.cc
@@ -17,7 +17,7 @@
 
 constexpr const char* kNodeIdField = "node_id:";
 
-// A settings file has its node's id at the top level; a policy never has.
+// A settings file has `node_id` at the top level; a policy never has one.
 bool looksLikeNodeSettings(const std::string& text) {
   return text.rfind(kNodeIdField, 0) == 0 || text.find(std::string("\n") + kNodeIdField) != std::string::npos;
 }
--- a/src/cli/check_command.h
+++ b/src/cli/check_command.h
@@ -1,9 +1,9 @@
-// `quincewick check FILE...`: reads settings and policy files and lists their faults.
+// `quincewick check FILE...`: validates settings and policy files and lists their errors.
 #pragma once
 
 namespace quincewick::cli {
 
-// Returns the exit code: 0 when all files are fine, 2 when one has faults or the arguments are misused.
+// Returns the exit code: 0 if all files are valid, 2 if a file has errors or the arguments are invalid.
 int runCheckCommand(int argc, char** argv);
 
 }  // namespace quincewick::cli
--- a/src/cli/ctl_client.cc
+++ b/src/cli/ctl_client.cc
@@ -34,7 +34,7 @@
   return response;
 }
 
-// Whether the operation may or may not have been carried out.
+// True if it is not known whether the operation was executed.
 bool isOutcomeUnknown(const CtlResponse& response) {
   if (response.status == 0) {
     return true;
--- a/src/cli/ctl_client.h
+++ b/src/cli/ctl_client.h
@@ -1,4 +1,4 @@
-// Calls of the operators' API from the command line.
+// Client of the HTTP API for operators.
 #pragma once
 
 #include <absl/time/time.h>
@@ -11,11 +11,11 @@
 
 namespace quincewick::cli {
 
-// A node's answer: status 0 when there was none.
+// A node's response. `status` is 0 if none was received.
 struct CtlResponse {
   int status = 0;
-  nlohmann::json body;          // empty object where it was no JSON
-  std::string transport_error;  // what went wrong on the way; empty: nothing
+  nlohmann::json body;          // empty object if the body was not a JSON object
+  std::string transport_error;  // connection or protocol error; empty if a response was received
 
   bool ok() const { return status == 200; }
 };
@@ -27,8 +27,8 @@
 
   CtlResponse get(const std::string& path) const;
   CtlResponse post(const std::string& path, const nlohmann::json& body) const;
-  // A post whose body names its operation, so that it may be sent again when its answer was lost or said that
-  // the outcome is unknown.
+  // Posts a body that contains an operation id, which makes the request idempotent: it is retried if no
+  // response was received or the response says that the outcome is unknown.
   CtlResponse postOperation(const std::string& path, const nlohmann::json& body) const;
 
  private:
--- a/src/cli/ctl_command.cc
+++ b/src/cli/ctl_command.cc
@@ -46,7 +46,7 @@
     "  rollback VERSION        bring back an earlier version of the policy as a new one\n"
     "  watch                   print accepted changes as they come in force\n";
 
-// What the command line says.
+// The parsed command line.
 struct Invocation {
   std::vector<std::string> positional_arguments;  // the command and its arguments
   bool json = false;
@@ -62,7 +62,7 @@
   return kMisuse;
 }
 
-// Prints why a call failed and returns the exit code for it.
+// Prints why a request failed and returns the exit code for it.
 int reportFailure(const CtlResponse& response) {
   if (response.status == 0) {
     std::cerr << "quincewick ctl: the node can't be reached: " << response.transport_error << "\n";
@@ -116,7 +116,7 @@
   return {{"operation", operation}, {"comment", invocation.comment}};
 }
 
-// A policy file with its faults printed; nothing where it has some.
+// Parses a policy file. Prints its errors and returns std::nullopt if it has any.
 std::optional<configuration::Policy> readPolicy(const std::string& file) {
   std::ifstream input(file);
   if (!input) {
@@ -132,7 +132,7 @@
   return std::move(parsed.value);
 }
 
-// The policy in force as the node tells it, with its version as base_version.
+// The policy in force as reported by the node; `policy.base_version` is its version.
 struct PolicyInForce {
   CtlResponse response;
   configuration::Policy policy;
@@ -193,8 +193,8 @@
   return kDone;
 }
 
-// Without a base in the file or on the command line, the version in force when the command starts is the
-// base.
+// The base version comes from --base, then from the file, then from the policy in force at the start of the
+// command.
 int runApply(const CtlClient& client, const Invocation& invocation) {
   const auto wanted = readPolicy(invocation.positional_arguments[1]);
   if (!wanted) {
@@ -236,7 +236,7 @@
                        cli::formatExplanation);
 }
 
-// Follows a rollout until it is done or rolled back.
+// Polls and prints the progress of a rollout until it is done or rolled back.
 int followRollout(const CtlClient& client, const Invocation& invocation) {
   for (;;) {
     const CtlResponse response = client.get("/v1/operator/status");
@@ -315,7 +315,7 @@
 }
 
 struct Command {
-  size_t positional_argument_count = 1;  // with its own name
+  size_t positional_argument_count = 1;  // includes the command's name
   int (*run)(const CtlClient& client, const Invocation& invocation) = nullptr;
 };
 
@@ -345,10 +345,10 @@
                                   cxxopts::value<std::string>()->default_value(""))(
       "operation", "The operation's id, to repeat one whose outcome is unknown",
       cxxopts::value<std::string>()->default_value(""))("once", "Do not follow (rollout, watch)")(
-      "tenant", "For explain", cxxopts::value<std::string>()->default_value(""))(
-      "kind", "For explain", cxxopts::value<std::string>()->default_value(""))(
-      "model", "For explain", cxxopts::value<std::string>()->default_value(""))(
-      "prompt", "For explain", cxxopts::value<std::string>()->default_value(""))(
+      "tenant", "Tenant of the request to explain", cxxopts::value<std::string>()->default_value(""))(
+      "kind", "Request kind of the request to explain", cxxopts::value<std::string>()->default_value(""))(
+      "model", "Model of the request to explain", cxxopts::value<std::string>()->default_value(""))(
+      "prompt", "Prompt of the request to explain", cxxopts::value<std::string>()->default_value(""))(
       "words", "", cxxopts::value<std::vector<std::string>>());
   options.parse_positional({"words"});
   return options;
--- a/src/cli/ctl_output.cc
+++ b/src/cli/ctl_output.cc
@@ -73,7 +73,7 @@
 std::string formatStatus(const Json& status) {
   std::string out = formatObjects(Json::array({status}),
                                   {"node", "zone", "ready", "relay", "version", "confirmed_age_seconds"});
-  // The lag of each node is against the newest version known here.
+  // Each node's lag is counted from the newest version in this response.
   Json nodes = status.value("nodes", Json::array());
   uint64_t newest = status.value("version", uint64_t{0});
   for (const Json& node : nodes) {
--- a/src/cli/ctl_output.h
+++ b/src/cli/ctl_output.h
@@ -1,4 +1,4 @@
-// How answers of the operators' API are shown.
+// Formats responses of the HTTP API for operators as text.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -7,16 +7,17 @@
 
 namespace quincewick::cli {
 
-// Lines up rows under headings, with two spaces between columns.
+// Formats rows as left-aligned columns under headings, with two spaces between columns.
 std::string formatTable(const std::vector<std::string>& headings,
                         const std::vector<std::vector<std::string>>& rows);
 
-// A list of objects as a table of the named fields; absent fields are left empty.
+// Formats a list of objects as a table of the given fields. The cells of missing fields are empty; the result
+// is empty if the list is.
 std::string formatObjects(const nlohmann::json& list, const std::vector<std::string>& fields);
 
-// The status answer as tables.
+// Formats a status response as tables.
 std::string formatStatus(const nlohmann::json& status);
-// The explanation of a request's routing as tables.
+// Formats the explanation of a routing decision as tables.
 std::string formatExplanation(const nlohmann::json& explanation);
 
 }  // namespace quincewick::cli
--- a/src/cli/demo_command.cc
+++ b/src/cli/demo_command.cc
@@ -18,10 +18,10 @@
 
 using Json = nlohmann::json;
 
-constexpr size_t kLongPromptCharacters = 40'000;  // nine blocks and a tail
+constexpr size_t kLongPromptCharacters = 40'000;  // nine full cache blocks and a partial one
 constexpr int kStatusOk = 200;
 
-// What one completion cost, as its caller saw it.
+// Measurements of one completion at the client.
 struct CompletionMeasurement {
   absl::Duration first_token;
   uint64_t prompt_tokens = 0;
@@ -47,7 +47,7 @@
   }
 }
 
-// Sends a streamed chat completion and notes when the first token came.
+// Sends a streamed chat completion and measures the time to its first token. Returns false if it failed.
 bool measureStreamedCompletion(httplib::Client& client, const std::string& prompt,
                                CompletionMeasurement& measurement) {
   const Json body = {{"model", kDemoModel},
@@ -157,9 +157,9 @@
 
 int runDemoCommand(int argc, char** argv) {
   cxxopts::Options options("quincewick demo", "Runs a small deployment in this process on loopback.");
-  options.add_options()("once", "exit after the tour")("seconds", "how long to stay up after the tour",
-                                                       cxxopts::value<int>()->default_value("3600"))(
-      "verbose", "log each request")("help", "print this");
+  options.add_options()("once", "exit after the example requests")(
+      "seconds", "how long to keep running after the example requests",
+      cxxopts::value<int>()->default_value("3600"))("verbose", "log each request")("help", "print this");
   try {
     const auto flags = options.parse(argc, argv);
     if (flags.count("help") > 0) {
--- a/src/cli/demo_site.cc
+++ b/src/cli/demo_site.cc
@@ -15,7 +15,7 @@
 constexpr size_t kEngineCount = 3;
 constexpr absl::Duration kStartTimeout = absl::Seconds(10);
 constexpr absl::Duration kStartPollInterval = absl::Milliseconds(20);
-// A demonstration on loopback keeps no secrets; real sites set their own.
+// Fixed secrets suffice for a demonstration on loopback; real sites set their own.
 constexpr const char* kDemoPeerSecret = "0f6a1c9be2d84375a9b0c7d8e1f203140f6a1c9be2d84375a9b0c7d8e1f20314";
 constexpr const char* kDemoSaltSecret = "6465b1c3f0a94e7798ce1f5ad20b3c886465b1c3f0a94e7798ce1f5ad20b3c88";
 
--- a/src/cli/demo_site.h
+++ b/src/cli/demo_site.h
@@ -1,4 +1,4 @@
-// The small deployment that `quincewick demo` runs: stand-ins and one node in this process, on loopback.
+// The deployment that `quincewick demo` runs: emulators and one node, in this process and on loopback.
 #pragma once
 
 #include <memory>
@@ -18,7 +18,7 @@
 inline constexpr const char* kDemoModel = "demo-model";
 inline constexpr const char* kDemoActionKind = "reservation";
 
-// Owns the whole site; stops it when destroyed.
+// Owns the servers of the site and stops them on destruction.
 class DemoSite {
  public:
   DemoSite();
@@ -26,11 +26,11 @@
   DemoSite(const DemoSite&) = delete;
   DemoSite& operator=(const DemoSite&) = delete;
 
-  // Starts everything, on free ports, and waits until the node has found the engines. Returns the node's
-  // port.
+  // Starts all servers on free ports and waits until the node has discovered the engines. Returns the node's
+  // port for callers. kDeadlineExceeded if the node is not ready in time.
   Result<uint16_t> start();
 
-  // How often the action server ran the actions it was sent, whatever their keys.
+  // Returns how many actions the action server has executed, over all idempotency keys.
   uint64_t actionRunCount();
 
  private:
--- a/src/cli/emulate_command.cc
+++ b/src/cli/emulate_command.cc
@@ -26,7 +26,7 @@
 constexpr int kExitMisuse = 2;
 constexpr absl::Duration kMaxSignalWait = absl::Seconds(60);
 
-// Reads and parses a file; prints its faults. Nothing on any fault.
+// Reads and parses a file. Prints its errors and returns std::nullopt if it has any.
 template <class T>
 std::optional<T> readFile(const std::string& file, configuration::Parsed<T> (*parse)(const std::string&)) {
   std::ifstream input(file);
@@ -42,7 +42,8 @@
   return std::move(parsed.value);
 }
 
-// Blocked in every thread, so that only waitForStop sees them. Call before any thread starts.
+// Blocks SIGINT and SIGTERM, so that only waitForStop receives them. Threads inherit the mask: call before
+// any thread is started.
 sigset_t blockStopSignals() {
   sigset_t signals;
   sigemptyset(&signals);
@@ -52,14 +53,14 @@
   return signals;
 }
 
-// True when a stop signal came before `deadline`.
+// Waits for a stop signal until `deadline`, at most kMaxSignalWait. Returns true if one was received.
 bool waitForStop(const sigset_t& signals, absl::Time deadline) {
   const absl::Duration wait = std::clamp(deadline - absl::Now(), absl::ZeroDuration(), kMaxSignalWait);
   const timespec timeout = absl::ToTimespec(wait);
   return sigtimedwait(&signals, nullptr, &timeout) > 0;
 }
 
-// Injects the faults at their times until a stop signal comes.
+// Injects the faults at their scheduled times until a stop signal is received.
 void runUntilStopped(emulator::EmulatedSite& site, std::vector<emulator::ScheduledFault> faults,
                      const sigset_t& signals) {
   const absl::Time start = absl::Now();
@@ -81,7 +82,7 @@
 }
 
 cxxopts::Options makeOptions() {
-  cxxopts::Options options("quincewick emulate", "Starts the stand-ins of one site on this machine.");
+  cxxopts::Options options("quincewick emulate", "Starts the emulated servers of one site on this machine.");
   cxxopts::OptionAdder add = options.add_options();
   add("settings", "the site's settings (YAML)", cxxopts::value<std::string>());
   add("faults", "faults to inject while it runs (YAML)", cxxopts::value<std::string>());
--- a/src/cli/emulate_command.h
+++ b/src/cli/emulate_command.h
@@ -1,10 +1,10 @@
-// `quincewick emulate`: starts all stand-ins of a settings file.
+// `quincewick emulate`: starts all emulated servers of a settings file.
 #pragma once
 
 namespace quincewick::cli {
 
-// Runs until SIGINT or SIGTERM. Returns the exit code: 0 after a stop, 1 when an address can't be had, 2 for
-// wrong flags or a faulty file.
+// Runs until SIGINT or SIGTERM. Returns the exit code: 0 after a stop, 1 if an address can't be bound, 2 for
+// invalid flags or an invalid file.
 int runEmulateCommand(int argc, char** argv);
 
 }  // namespace quincewick::cli
--- a/src/cli/load_command.cc
+++ b/src/cli/load_command.cc
@@ -35,17 +35,18 @@
 cxxopts::Options makeOptions() {
   cxxopts::Options options("quincewick load", "Sends a workload to routers and reports what callers saw.");
   cxxopts::OptionAdder add = options.add_options();
-  add("target", "callers' addresses of routers, IP:PORT[,IP:PORT...]", cxxopts::value<std::string>());
+  add("target", "router addresses for callers, IP:PORT[,IP:PORT...]", cxxopts::value<std::string>());
   add("workload", "the workload file (YAML)", cxxopts::value<std::string>());
   add("seconds", "how long to send", cxxopts::value<double>()->default_value("10"));
   add("rate", "mean requests a second", cxxopts::value<double>()->default_value("10"));
-  add("seed", "repeats the same arrivals", cxxopts::value<uint64_t>()->default_value("1"));
+  add("seed", "random seed; the same seed gives the same arrivals",
+      cxxopts::value<uint64_t>()->default_value("1"));
   add("workers", "requests that can be in flight at once", cxxopts::value<uint32_t>()->default_value("256"));
   add("key", "one caller's key for all requests, in place of the tenants' own",
       cxxopts::value<std::string>());
-  add("action-servers", "addresses asked for their runs at the end, IP:PORT[,IP:PORT...]",
+  add("action-servers", "action servers whose executions are counted at the end, IP:PORT[,IP:PORT...]",
       cxxopts::value<std::string>());
-  add("patience", "seconds to wait for the next byte of an answer",
+  add("patience", "seconds to wait for the next byte of a response",
       cxxopts::value<double>()->default_value("60"));
   add("output", "write the result (JSON) here; - for standard output",
       cxxopts::value<std::string>()->default_value("-"));
@@ -174,7 +175,8 @@
   }
   const uint64_t violations = loadgen::violationCount(result);
   if (violations > 0) {
-    std::cerr << "quincewick load: " << violations << " broken promises, see 'violations' in the result\n";
+    std::cerr << "quincewick load: " << violations
+              << " violated guarantees; see 'violations' in the result\n";
     return kExitFailure;
   }
   return kExitSuccess;
--- a/src/cli/load_command.h
+++ b/src/cli/load_command.h
@@ -1,9 +1,10 @@
-// The subcommand `quincewick load`: drives callers' traffic and reports what the callers saw.
+// `quincewick load`: generates callers' traffic and reports the results as the callers observed them.
 #pragma once
 
 namespace quincewick::cli {
 
-// Returns the process's exit status: 0, 1 if a promise was broken or a file can't be written, 2 on misuse.
+// Returns the exit code: 0 success; 1 if a guarantee was violated or a file can't be written; 2 invalid
+// arguments.
 int runLoadCommand(int argc, char** argv);
 
 }  // namespace quincewick::cli
--- a/src/cli/main.cc
+++ b/src/cli/main.cc
@@ -1,4 +1,4 @@
-// The quincewick program: picks the subcommand and hands it the rest of the command line.
+// The quincewick program: selects the subcommand and passes it the remaining arguments.
 #include <glog/logging.h>
 
 #include <array>
@@ -26,14 +26,14 @@
 };
 
 constexpr std::array kCommands = {
-    Command{"serve", "run one node", runServeCommand},
+    Command{"serve", "run one node or gateway", runServeCommand},
     Command{"check", "check settings and policy files", runCheckCommand},
-    Command{"ctl", "ask and change a running site", runCtlCommand},
-    Command{"emulate", "run stand-ins for engines, action servers and the platform", runEmulateCommand},
-    Command{"load", "drive callers' traffic and check every answer", runLoadCommand},
+    Command{"ctl", "query and change a running site", runCtlCommand},
+    Command{"emulate", "run emulators of engines, action servers and the platform", runEmulateCommand},
+    Command{"load", "generate callers' traffic and check every response", runLoadCommand},
     Command{"demo", "run a small deployment in this process on loopback", runDemoCommand},
     Command{"trace", "gather the log lines of one request", runTraceCommand},
-    Command{"simulate", "run a site of hollow nodes on virtual time", runSimulateCommand},
+    Command{"simulate", "simulate a site on virtual time", runSimulateCommand},
 };
 
 void printUsage(std::FILE* out) {
@@ -67,8 +67,8 @@
 }  // namespace quincewick::cli
 
 int main(int argc, char** argv) {
-  // "Read the settings again" may come before `serve` takes signals: they are read at its start anyhow, and
-  // by its default the signal would end the process.
+  // SIGHUP (reload the settings) may be received before `serve` handles it, and would then terminate the
+  // process by default. Ignoring it loses nothing: the settings are read at startup anyway.
   std::signal(SIGHUP, SIG_IGN);
   FLAGS_logtostderr = true;
   google::InitGoogleLogging(argv[0]);
--- a/src/cli/serve_command.cc
+++ b/src/cli/serve_command.cc
@@ -21,7 +21,7 @@
 namespace quincewick::cli {
 namespace {
 
-// Reads and parses a file; prints every fault of it.
+// Reads and parses a file. Prints its errors and returns std::nullopt if it has any.
 template <class T>
 std::optional<T> parseFile(const std::string& path, configuration::Parsed<T> (*parse)(const std::string&)) {
   const Result<std::string> text = readTextFile(path);
@@ -65,7 +65,7 @@
   return kExitSuccess;
 }
 
-// A gateway handles its signals itself, on its reactor.
+// A gateway handles signals on its own reactor, so catchInterrupts() is not called for it.
 int serveGateway(const std::string& settings_file, const std::string& text) {
   configuration::Parsed<gateway::GatewaySettings> settings = gateway::parseGatewaySettings(text);
   if (!settings.ok()) {
@@ -113,7 +113,7 @@
 }  // namespace
 
 int runServeCommand(int argc, char** argv) {
-  cxxopts::Options options("quincewick serve", "Runs one node until SIGTERM or SIGINT.");
+  cxxopts::Options options("quincewick serve", "Runs one node or gateway until SIGTERM or SIGINT.");
   options.add_options()("settings", "the node's settings file", cxxopts::value<std::string>())("help",
                                                                                                "print this");
   try {
@@ -123,7 +123,7 @@
       return kExitSuccess;
     }
     if (flags.count("settings") == 0) {
-      std::fputs("quincewick serve: --settings FILE is needed\n", stderr);
+      std::fputs("quincewick serve: --settings FILE is required\n", stderr);
       return kExitMisuse;
     }
     return serveSettingsFile(flags["settings"].as<std::string>());
--- a/src/cli/simulate_command.cc
+++ b/src/cli/simulate_command.cc
@@ -22,11 +22,11 @@
 constexpr int kExitViolations = 1;
 constexpr int kExitMisuse = 2;
 constexpr absl::Duration kMaxDefaultWarmUp = absl::Seconds(10);
-constexpr double kDefaultRequestsPerSecondPerNode =
-    27;  // requests a second: the share of a node in the size to design for
+// One node's share of the request rate of the deployment size that the system is designed for.
+constexpr double kDefaultRequestsPerSecondPerNode = 27;
 
 cxxopts::Options makeOptions() {
-  cxxopts::Options options("quincewick simulate", "Runs a site of hollow nodes and engines on virtual time.");
+  cxxopts::Options options("quincewick simulate", "Simulates a site of nodes and engines on virtual time.");
   // clang-format off
   options.add_options()
       ("nodes", "router nodes", cxxopts::value<uint32_t>()->default_value("12"))
@@ -34,8 +34,8 @@
       ("zones", "zones", cxxopts::value<uint32_t>()->default_value("3"))
       ("regions", "regions; 0: one for three zones", cxxopts::value<uint32_t>()->default_value("0"))
       ("duration", "virtual time to run, such as 60s; without a unit: seconds", cxxopts::value<std::string>()->default_value("60s"))
-      ("warm-up", "first part that isn't measured; default: a quarter, at most 10s", cxxopts::value<std::string>())
-      ("seed", "seed of all chance", cxxopts::value<uint64_t>()->default_value("1"))
+      ("warm-up", "initial period that isn't measured; default: a quarter, at most 10s", cxxopts::value<std::string>())
+      ("seed", "seed of all random numbers", cxxopts::value<uint64_t>()->default_value("1"))
       ("rate", "requests a second; 0: 27 for each node", cxxopts::value<double>()->default_value("0"))
       ("tenants", "tenants of the built-in workload", cxxopts::value<uint32_t>()->default_value("160"))
       ("changes", "changes of the configuration a day", cxxopts::value<double>()->default_value("94000"))
--- a/src/cli/simulate_command.h
+++ b/src/cli/simulate_command.h
@@ -1,10 +1,10 @@
-// The subcommand `quincewick simulate`.
+// `quincewick simulate`: runs a simulated site on virtual time.
 #pragma once
 
 namespace quincewick::cli {
 
 // Simulates a site on virtual time and prints a report. `argv[0]` is the subcommand's name. Returns the exit
-// status: 0, 1 if a promise was violated, 2 on misuse.
+// code: 0 success; 1 if a guarantee was violated; 2 invalid arguments.
 int runSimulateCommand(int argc, char** argv);
 
 }  // namespace quincewick::cli
--- a/src/cli/text_file.h
+++ b/src/cli/text_file.h
@@ -1,4 +1,4 @@
-// Reads the files that commands are given.
+// Reads files that are given as arguments.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace quincewick::cli {
 
-// The whole file. kNotFound if it can't be read.
+// Returns the contents of the file. kNotFound if it can't be read.
 Result<std::string> readTextFile(const std::string& path);
 
 }  // namespace quincewick::cli
--- a/src/http/bearer_key.h
+++ b/src/http/bearer_key.h
@@ -1,4 +1,4 @@
-// The key that a caller or an operator proves who it is by.
+// Extracts the API key by which a caller or an operator authenticates.
 #pragma once
 
 #include <httplib.h>
@@ -7,7 +7,7 @@
 
 namespace quincewick::http {
 
-// The key of an `Authorization: Bearer KEY` header; empty without one.
+// Returns the key of an `Authorization: Bearer KEY` header; empty if there is none.
 std::string bearerKey(const httplib::Request& request);
 
 }  // namespace quincewick::http
--- a/src/http/caller_api.cc
+++ b/src/http/caller_api.cc
@@ -20,7 +20,7 @@
 constexpr const char* kJsonType = "application/json";
 constexpr const char* kEventStreamType = "text/event-stream";
 
-// A request with its identity established.
+// The identity of an authenticated request.
 struct CallContext {
   RequestId id;
   TenantId tenant;
@@ -70,7 +70,7 @@
   return !std::holds_alternative<TokenEvent>(event);
 }
 
-// Writes what has come to the caller. Returns false when the caller is gone.
+// Writes the events to the caller as server-sent events. Returns false if the caller has disconnected.
 bool writeEvents(const ResponseMetadata& metadata, const std::vector<StreamEvent>& events,
                  httplib::DataSink& sink) {
   std::string text;
@@ -122,7 +122,7 @@
   }
 }
 
-// One instance serves all requests; it holds no state of its own.
+// Request handlers. One instance serves all requests concurrently; it is stateless.
 class CallerApi {
  public:
   explicit CallerApi(CallerBackend& backend) : backend_(backend) {}
@@ -144,7 +144,7 @@
     });
   }
 
-  // GET /v1/streams/ID with Last-Event-ID: the rest of an answer whose connection broke.
+  // GET /v1/streams/ID with Last-Event-ID: resumes a response whose connection was lost.
   void reconnect(const httplib::Request& request, httplib::Response& response) {
     withCaller(request, response, [&](const CallContext& context) -> Result<void> {
       const RequestId original(request.matches[1].str());
@@ -187,7 +187,7 @@
   }
 
  private:
-  // Establishes who calls, runs `handle`, and turns its error into an answer.
+  // Authenticates the caller, runs `handle`, and sends an error response if either fails.
   template <class Handler>
   void withCaller(const httplib::Request& request, httplib::Response& response, Handler handle) {
     CallContext context;
@@ -207,7 +207,7 @@
     }
   }
 
-  // The offset of the last token that the caller holds; nothing: it holds none.
+  // Returns the offset of the last token that the caller received; std::nullopt if it received none.
   static Result<std::optional<uint64_t>> lastEventId(const httplib::Request& request,
                                                      const RequestId& original) {
     const std::string text = request.get_header_value("Last-Event-ID");
@@ -224,6 +224,7 @@
   CallerBackend& backend_;
 };
 
+// Gives error responses of the HTTP library (unknown path, oversized body) the API's JSON error body.
 void sendDefaultError(const httplib::Request& request, httplib::Response& response) {
   if (!response.body.empty()) {
     return;
--- a/src/http/caller_api.h
+++ b/src/http/caller_api.h
@@ -1,4 +1,4 @@
-// The callers' HTTP API: completions, models, actions, health and metrics.
+// The HTTP API for callers: completions, models, actions, health and metrics.
 #pragma once
 
 #include <httplib.h>
@@ -7,7 +7,7 @@
 
 namespace quincewick::http {
 
-// Registers all routes of the API on `server`. `backend` must outlive the server.
+// Registers all routes of the API on `server`. `backend` must outlive `server`.
 void registerCallerApi(httplib::Server& server, CallerBackend& backend);
 
 }  // namespace quincewick::http
--- a/src/http/completion_request.cc
+++ b/src/http/completion_request.cc
@@ -24,7 +24,7 @@
   return entry->get<std::string>();
 }
 
-// Content is a string, or a list of parts of which those of type "text" count.
+// `content` is a string or a list of parts, each with a string field `text`; the texts are concatenated.
 Result<std::string> messageContent(const Json& message) {
   const auto content = message.find("content");
   if (content == message.end()) {
--- a/src/http/completion_request.h
+++ b/src/http/completion_request.h
@@ -1,4 +1,4 @@
-// Reads the bodies of /v1/chat/completions and /v1/completions.
+// Parses the request bodies of /v1/chat/completions and /v1/completions.
 #pragma once
 
 #include <cstdint>
@@ -12,17 +12,17 @@
 
 enum class CompletionShape { kChat, kText };
 
-// A completion as its caller asked for it. Fields of the API that a router has no use for are ignored.
+// A parsed completion request. Fields of the API that the router does not need are ignored.
 struct CompletionRequest {
   CompletionShape shape = CompletionShape::kText;
   ModelName model;
   AdapterName adapter;
-  std::string prompt;  // for chat: the messages rendered in order
+  std::string prompt;  // for chat: the messages in order, each preceded by its role as <|role|>
   uint32_t maximum_tokens = 0;
   bool stream = false;
 };
 
-// Parses a body. kInvalidArgument names the field that is missing or of the wrong type.
+// Parses a JSON body. kInvalidArgument with a message that names the missing or invalid field.
 Result<CompletionRequest> parseCompletionRequest(CompletionShape shape, std::string_view body);
 
 }  // namespace quincewick::http
--- a/src/http/completion_response.cc
+++ b/src/http/completion_response.cc
@@ -57,7 +57,7 @@
 std::string formatEndEvent(const ResponseMetadata& metadata, const EndEvent& end) {
   Json body = chunk(metadata, "", finishReasonName(end.reason));
   body["usage"] = usageJson(end.usage);
-  // No id of its own: a caller that lost the connection here comes back with the last token's.
+  // Without an id: a caller that loses the connection here resumes from the last token's id.
   return "data: " + dump(body) + "\n\ndata: [DONE]\n\n";
 }
 
--- a/src/http/completion_response.h
+++ b/src/http/completion_response.h
@@ -1,4 +1,4 @@
-// Writes answers in the shapes of the chat and text completion API, whole or as server-sent events.
+// Serializes responses of the chat and text completion APIs, as one JSON object or as server-sent events.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace quincewick::http {
 
-// What stays the same in all events of one answer.
+// Fields that all events of one response have in common.
 struct ResponseMetadata {
   CompletionShape shape = CompletionShape::kText;
   RequestId request;
@@ -16,12 +16,12 @@
   int64_t created_unix_seconds = 0;
 };
 
-// One stream event as server-sent event text. A token's event id names the request and the offset, so that a
-// caller can come back to any node with the last one it has; the end is followed by "data: [DONE]"; a cut is
-// an "error" event.
+// Formats one stream event as a server-sent event. A token's event id contains the request id and the offset,
+// so that a caller can resume at any node with the last id it received. An EndEvent is followed by "data:
+// [DONE]"; a CutEvent becomes an "error" event.
 std::string serverSentEvent(const ResponseMetadata& metadata, const StreamEvent& event);
 
-// A whole answer as one JSON object.
+// Returns a complete response as one JSON object.
 std::string completeResponseBody(const ResponseMetadata& metadata, const std::string& text,
                                  const EndEvent& end);
 
--- a/src/http/error_body.cc
+++ b/src/http/error_body.cc
@@ -42,7 +42,8 @@
   if (error.retry_after > absl::ZeroDuration()) {
     body["retry_after_seconds"] = absl::ToDoubleSeconds(error.retry_after);
   }
-  // Text that is no UTF-8 may have come with the request: it is replaced, not thrown over.
+  // The message may quote invalid UTF-8 from the request: `replace` substitutes it, where the default would
+  // throw.
   return nlohmann::json{{"error", body}}.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
--- a/src/http/error_body.h
+++ b/src/http/error_body.h
@@ -1,4 +1,4 @@
-// Errors as HTTP answers: one typed JSON body for every failure.
+// HTTP error responses: every failure has the same typed JSON body.
 #pragma once
 
 #include <httplib.h>
@@ -10,13 +10,14 @@
 
 namespace quincewick::http {
 
-// The status that the code maps to; every code has one.
+// Returns the HTTP status of an error code.
 int httpStatus(ErrorCode code);
 
-// {"error":{"type","message","ran":"no|unknown|yes","retry_after_seconds"?,"request_id"}}.
+// Returns {"error":{"type","message","ran":"no|unknown|yes","retry_after_seconds"?,"request_id"}}.
 std::string errorBody(const Error& error, const RequestId& request);
 
-// Sets status, body and, when the error advises a repeat, the Retry-After header (whole seconds, rounded up).
+// Sets the status, the body and, if the error has a `retry_after`, the Retry-After header (whole seconds,
+// rounded up).
 void sendError(const Error& error, const RequestId& request, httplib::Response& response);
 
 }  // namespace quincewick::http
--- a/src/http/http_server.cc
+++ b/src/http/http_server.cc
@@ -7,10 +7,10 @@
 namespace quincewick::http {
 namespace {
 
-// The library listens with a backlog of 5, which a burst of connections overflows.
+// httplib listens with a backlog of 5, which a burst of connections overflows.
 constexpr int kListenBacklog = 1024;
 constexpr size_t kMaxRequestsPerConnection = 1'000'000;
-// Also how long a stop may wait for an idle connection.
+// Also bounds how long stop() waits for an idle connection.
 constexpr time_t kKeepAliveTimeoutSeconds = 5;
 
 std::unique_ptr<httplib::Server> makeServer(const std::optional<TlsFiles>& tls) {
@@ -70,7 +70,7 @@
   if (!accept_thread_.joinable()) {
     return;
   }
-  // The library ignores stop() until its accept loop runs.
+  // httplib ignores stop() until its accept loop is running.
   while (!server_->is_running()) {
     std::this_thread::yield();
   }
--- a/src/http/http_server.h
+++ b/src/http/http_server.h
@@ -1,4 +1,4 @@
-// A listening HTTP server with the settings that the project needs everywhere.
+// An HTTP server with the options that all HTTP listeners of the project share.
 #pragma once
 
 #include <httplib.h>
@@ -14,7 +14,7 @@
 
 namespace quincewick::http {
 
-// Certificate and key files in PEM form. The library reads them when the server starts.
+// Paths of the certificate and key files in PEM format. They are read when the HttpServer is constructed.
 struct TlsFiles {
   std::string certificate;
   std::string key;
@@ -22,13 +22,12 @@
 
 struct HttpServerOptions {
   size_t worker_threads = 64;                    // each serves one connection at a time
-  size_t maximum_body_bytes = size_t{16} << 20;  // a longer body gets status 413
+  size_t maximum_body_bytes = size_t{16} << 20;  // a larger body gets status 413
   std::optional<TlsFiles> tls;
 };
 
-// Owns a httplib::Server and the thread that accepts for it. Register handlers through routes() before
-// start(). Handlers run on worker threads, several at once. Not thread-safe itself: one owner starts and
-// stops it.
+// Owns a httplib::Server and its accept thread. Register handlers through routes() before start(). Handlers
+// run concurrently on worker threads. start() and stop() are not thread-safe.
 class HttpServer {
  public:
   explicit HttpServer(const HttpServerOptions& options);
@@ -38,10 +37,11 @@
 
   httplib::Server& routes() { return *server_; }
 
-  // Binds and begins to accept; port 0 takes any free one. Returns the port. kUnavailable if it can't bind.
+  // Binds to `address` and starts accepting; port 0 selects a free port. Returns the port. kUnavailable if
+  // the address can't be bound, kInvalidArgument if the TLS files can't be used.
   Result<uint16_t> start(const Address& address);
 
-  // Stops accepting, waits for handlers in progress, and joins. Does nothing when not started.
+  // Stops accepting, waits for running handlers and joins the accept thread. No effect if not started.
   void stop();
 
  private:
@@ -49,7 +49,7 @@
 
   std::unique_ptr<httplib::Server> server_;
   std::thread accept_thread_;
-  int listening_socket_ = -1;  // known from the socket options callback; owned by the library
+  int listening_socket_ = -1;  // set by the socket options callback; owned by httplib
 };
 
 }  // namespace quincewick::http
--- a/src/http/operator_api.cc
+++ b/src/http/operator_api.cc
@@ -65,7 +65,7 @@
             << " version=" << (accepted != nullptr ? accepted->version.value() : 0);
 }
 
-// One server's handlers: what they share is the backend.
+// The request handlers of one server; they share the backend.
 class OperatorApi {
  public:
   explicit OperatorApi(OperatorBackend& backend) : backend_(backend) {}
@@ -146,7 +146,8 @@
   OperatorBackend& backend_;
 };
 
-// Wraps a handler: checks the key's role first. The handler gets the operator's name.
+// Wraps a handler with a check that the key's role permits `action`. The handler receives the operator's
+// name.
 template <class Handler>
 httplib::Server::Handler withAuthorization(const std::shared_ptr<OperatorApi>& api, OperatorAction action,
                                            Handler handler) {
@@ -185,13 +186,14 @@
       withAuthorization(api, OperatorAction::kRead,
                         [](OperatorApi& self, const Request& request, const RequestId& id, const std::string&,
                            Response& response) { self.postExplain(request, id, response); }));
-  // The role that a change needs depends on its contents: any known key may ask.
+  // The required role depends on the contents of the change, so any valid key passes here; postChange()
+  // checks the role.
   server.Post(
       "/v1/operator/changes",
       withAuthorization(api, OperatorAction::kRead,
                         [](OperatorApi& self, const Request& request, const RequestId& id, const std::string&,
                            Response& response) { self.postChange(request, id, response); }));
-  // Going back may bring back operators, so it needs the greatest role.
+  // A rollback may restore removed operators, so it requires the highest role.
   server.Post("/v1/operator/rollback",
               withAuthorization(
                   api, OperatorAction::kChangeOperators,
--- a/src/http/operator_api.h
+++ b/src/http/operator_api.h
@@ -1,4 +1,4 @@
-// The operators' HTTP API: /v1/operator/... with JSON bodies.
+// The HTTP API for operators: /v1/operator/... with JSON bodies.
 #pragma once
 
 #include <httplib.h>
@@ -7,8 +7,8 @@
 
 namespace quincewick::http {
 
-// Adds the API's routes to a server. The backend must outlive the server's run. Every request needs
-// `Authorization: Bearer KEY`; handlers run on the server's threads.
+// Registers all routes of the API on `server`. `backend` must outlive `server`. Every request needs
+// `Authorization: Bearer KEY`. Handlers run on the server's worker threads.
 void addOperatorRoutes(OperatorBackend& backend, httplib::Server& server);
 
 }  // namespace quincewick::http
--- a/src/http/operator_backend.h
+++ b/src/http/operator_backend.h
@@ -1,4 +1,4 @@
-// What the operators' HTTP API asks of the node.
+// The interface through which the HTTP API for operators uses its node.
 #pragma once
 
 #include <absl/time/time.h>
@@ -16,7 +16,7 @@
 
 namespace quincewick::http {
 
-// The policy in force at the node.
+// The policy that is active at the node.
 struct PolicyText {
   ConfigurationVersion version;
   std::string text;  // canonical YAML
@@ -28,47 +28,47 @@
   std::optional<std::string> text;  // YAML
 };
 
-// A change of the policy: a whole text, or single objects.
+// A change of the policy: the complete policy text, or single objects.
 struct PolicyChange {
-  OperationId operation;  // unique for each intent; a repeat of it changes nothing more
-  std::string author;     // set by the API to the name that the key belongs to
+  OperationId operation;  // idempotency key: a change that is sent again with the same id is applied once
+  std::string author;     // set by the API to the name of the authenticated operator
   std::string comment;
-  ConfigurationVersion base;  // the version that the operator has seen
+  ConfigurationVersion base;  // the version that the change was made from
   std::variant<std::string, std::vector<PolicyObjectChange>> content;
 };
 
 struct ChangeAccepted {
   ConfigurationVersion version;
-  bool changed = true;  // false: all was so already
+  bool changed = true;  // false: the policy already had these contents
 };
-// Another operator's change came first.
+// A concurrent change by another operator was accepted first.
 struct ChangeConflicted {
   std::string key;
-  ConfigurationVersion version;  // that won
-  std::string author;            // who won
+  ConfigurationVersion version;  // of the change that was accepted
+  std::string author;            // of the change that was accepted
 };
-// The policy would have these faults, one a line.
+// The resulting policy would be invalid.
 struct ChangeRejected {
-  std::vector<std::string> faults;
+  std::vector<std::string> faults;  // one message each
 };
 using ChangeOutcome = std::variant<ChangeAccepted, ChangeConflicted, ChangeRejected, Error>;
 
-// An accepted change, as kept for audit.
+// An accepted change, as recorded for audits.
 struct ChangeSummary {
   ConfigurationVersion version;
   OperationId operation;
   std::string author;
   std::string comment;
   absl::Time accepted_at;
-  std::vector<std::string> keys;  // of the objects that it changed
+  std::vector<std::string> keys;  // of the changed objects
 };
 
-// What one node knows of another one's version.
+// The policy version that another node last reported.
 struct NodeVersion {
   NodeId node;
   ZoneName zone;
   ConfigurationVersion version;
-  absl::Duration age;  // since it said so
+  absl::Duration age;  // since the report
 };
 
 struct BackEndSummary {
@@ -82,7 +82,7 @@
 struct RolloutSummary {
   ModelName model;
   WeightsVersion wanted;
-  uint32_t engines = 0;  // that shall serve it
+  uint32_t engines = 0;  // that should serve `wanted`
   uint32_t loaded = 0;
   uint32_t loading = 0;
   std::string state;  // "running", "done" or "rolled_back"
@@ -92,9 +92,9 @@
   NodeId node;
   ZoneName zone;
   bool ready = false;
-  bool relay = false;  // this node polls the store for its zone
+  bool relay = false;  // this node is the zone reader: it polls the store for its zone
   ConfigurationVersion version;
-  absl::Duration confirmed_age;    // since the store confirmed that this is the newest
+  absl::Duration confirmed_age;    // since the store confirmed that `version` is the newest
   std::vector<NodeVersion> nodes;  // the other nodes
   std::vector<BackEndSummary> back_ends;
   std::vector<RolloutSummary> rollouts;
@@ -116,19 +116,19 @@
 
 struct ExplainedEngine {
   BackEndId engine;
-  double expected_seconds = 0;  // to the first token
+  double expected_seconds = 0;  // predicted time to first token
   std::string reason;
 };
 
 struct Explanation {
-  std::string route;  // that won; empty: none
+  std::string route;  // selected route; empty if none matched
   std::string urgency;
   BackEndId chosen;
   std::vector<ExplainedRoute> routes;
-  std::vector<ExplainedEngine> engines;  // the best first
+  std::vector<ExplainedEngine> engines;  // best first
 };
 
-// Implemented by the node. All calls may come from several threads at once, and may block for some seconds.
+// Implemented by the node. All functions are thread-safe and may block for several seconds.
 class OperatorBackend {
  public:
   OperatorBackend() = default;
@@ -136,16 +136,17 @@
   OperatorBackend& operator=(const OperatorBackend&) = delete;
   virtual ~OperatorBackend() = default;
 
-  // The name of the operator whose key it is; kUnauthenticated or kPermissionDenied.
+  // Returns the name of the operator that `key` belongs to. kUnauthenticated if the key is not valid,
+  // kPermissionDenied if its role does not permit `action`.
   virtual Result<std::string> authorize(std::string_view key, OperatorAction action) = 0;
 
   virtual PolicyText policy() = 0;
-  // Whether the change touches operators, so that the greater role is needed.
+  // Returns the permission that the change needs: changes of operators need the higher role.
   virtual OperatorAction requiredAction(const PolicyChange& change) = 0;
   virtual ChangeOutcome change(const PolicyChange& change) = 0;
-  // Brings back the contents of an earlier version as a new one.
+  // Restores the contents of an earlier version as a new version.
   virtual ChangeOutcome rollback(ConfigurationVersion version, const PolicyChange& change) = 0;
-  // The changes after a version that the node remembers, oldest first.
+  // Returns the changes after `version` that the node still stores, oldest first.
   virtual std::vector<ChangeSummary> changesAfter(ConfigurationVersion version) = 0;
 
   virtual StatusReport status() = 0;
--- a/src/http/operator_json.cc
+++ b/src/http/operator_json.cc
@@ -14,7 +14,8 @@
   return absl::ToDoubleSeconds(duration);
 }
 
-// Runs a reader on a body; whatever it throws becomes one error that names the expected form.
+// Parses `body` and applies `reader` to it. An exception becomes kInvalidArgument with a message that names
+// the expected fields.
 template <class T, class Reader>
 Result<T> readBody(const std::string& body, const char* expected, Reader reader) {
   try {
--- a/src/http/operator_json.h
+++ b/src/http/operator_json.h
@@ -1,4 +1,4 @@
-// The JSON bodies of the operators' API.
+// JSON bodies of the HTTP API for operators.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -14,12 +14,13 @@
 nlohmann::json toJson(const StatusReport& report);
 nlohmann::json toJson(const Explanation& explanation);
 
-// Reads {"operation","comment"?,"base_version","policy"} or, instead of "policy", "changes":
-// [{"key","text"|null}]. kInvalidArgument with what was expected.
+// Parses {"operation","comment"?,"base_version","policy"} or, instead of "policy", "changes":
+// [{"key","text"|null}]. kInvalidArgument with a message that names the expected fields, as for the others
+// below.
 Result<PolicyChange> parsePolicyChange(const std::string& body);
-// Reads {"operation","comment"?,"version"}: the version goes to `base`.
+// Parses {"operation","comment"?,"version"}; the version is stored in `base`.
 Result<PolicyChange> parseRollback(const std::string& body);
-// Reads {"tenant","kind","model","adapter"?,"prompt"?}.
+// Parses {"tenant","kind","model","adapter"?,"prompt"?}.
 Result<ExplainQuery> parseExplainQuery(const std::string& body);
 
 }  // namespace quincewick::http
--- a/tests/http/completion_request_test.cc
+++ b/tests/http/completion_request_test.cc
@@ -6,7 +6,7 @@
 namespace quincewick::http {
 namespace {
 
-TEST_CASE("a chat body becomes one prompt with the messages in order") {
+TEST_CASE("a chat request's messages are rendered in order into one prompt") {
   const auto request = parseCompletionRequest(
       CompletionShape::kChat,
       R"({"model":"m","messages":[{"role":"system","content":"a"},{"role":"user","content":[{"type":"text","text":"b"}]}],)"
@@ -17,7 +17,7 @@
   CHECK(request.value().stream);
 }
 
-TEST_CASE("a malformed body is refused with the field named") {
+TEST_CASE("a malformed body is rejected with an error that names the field") {
   const std::pair<const char*, const char*> cases[] = {
       {"{", "JSON object"},
       {"[]", "JSON object"},
@@ -35,8 +35,9 @@
   }
 }
 
-TEST_CASE("no body makes the parser throw") {
-  rc::prop("cut and altered bodies are refused or read", [](size_t cut, char replacement) {
+TEST_CASE("the parser does not throw on corrupted bodies") {
+  rc::prop("truncated bodies are rejected, and altered bodies are parsed or rejected", [](size_t cut,
+                                                                                          char replacement) {
     std::string body = R"({"model":"m","messages":[{"role":"user","content":"text"}],"max_tokens":5})";
     body[cut % body.size()] = replacement;
     static_cast<void>(parseCompletionRequest(CompletionShape::kChat, body));
--- a/tests/http/operator_api_test.cc
+++ b/tests/http/operator_api_test.cc
@@ -10,7 +10,7 @@
 
 using Json = nlohmann::json;
 
-// Knows two keys, and answers changes with what the test has set.
+// Accepts two keys, and responds to changes with the `outcome` that the test has set.
 class FakeBackend final : public OperatorBackend {
  public:
   Result<std::string> authorize(std::string_view key, OperatorAction action) override {
@@ -64,30 +64,30 @@
   BackEndId drained;
 };
 
-class Api {
+class ApiServer {
  public:
-  Api() : server_({}) {
+  ApiServer() : server_({}) {
     addOperatorRoutes(backend, server_.routes());
     port_ = server_.start({"127.0.0.1", 0}).value();
   }
 
-  struct Answer {
+  struct HttpResponse {
     int status = 0;
     Json body;
   };
-  Answer get(const std::string& path, const std::string& key = "admin-key") {
+  HttpResponse get(const std::string& path, const std::string& key = "admin-key") {
     httplib::Client client("127.0.0.1", port_);
-    return read(client.Get(path, {{"Authorization", "Bearer " + key}}));
+    return parseResponse(client.Get(path, {{"Authorization", "Bearer " + key}}));
   }
-  Answer post(const std::string& path, const std::string& body, const std::string& key = "admin-key") {
+  HttpResponse post(const std::string& path, const std::string& body, const std::string& key = "admin-key") {
     httplib::Client client("127.0.0.1", port_);
-    return read(client.Post(path, {{"Authorization", "Bearer " + key}}, body, "application/json"));
+    return parseResponse(client.Post(path, {{"Authorization", "Bearer " + key}}, body, "application/json"));
   }
 
   FakeBackend backend;
 
  private:
-  static Answer read(const httplib::Result& result) {
+  static HttpResponse parseResponse(const httplib::Result& result) {
     REQUIRE(result);
     return {result->status, Json::parse(result->body)};
   }
@@ -99,8 +99,8 @@
 constexpr const char* kChange =
     R"({"operation":"op-1","base_version":7,"changes":[{"key":"tenants/a","text":"{}"}]})";
 
-TEST_CASE("operators read policy, status, changes and explanations") {
-  Api api;
+TEST_CASE("operators can read the policy, status, changes and explanations") {
+  ApiServer api;
   CHECK(api.get("/v1/operator/policy").body == Json{{"version", 7}, {"text", "tenants: {}\n"}});
   CHECK(api.get("/v1/operator/status", "viewer-key").body["nodes"][0]["version"] == 6);
   CHECK(api.get("/v1/operator/changes?after=3").body["changes"][0]["version"] == 4);
@@ -110,8 +110,8 @@
   CHECK(api.post("/v1/operator/explain", R"({"tenant":"a","kind":"x","model":"m"})").status == 404);
 }
 
-TEST_CASE("changes carry their author, and each outcome has its own answer") {
-  Api api;
+TEST_CASE("changes record their author, and each outcome has its own response") {
+  ApiServer api;
   const auto accepted = api.post("/v1/operator/changes", kChange);
   CHECK(accepted.status == 200);
   CHECK(accepted.body["version"] == 8);
@@ -129,8 +129,8 @@
   CHECK(api.post("/v1/operator/rollback", R"({"operation":"o","version":3})").body["version"] == 4);
 }
 
-TEST_CASE("keys, roles and bodies are checked before anything is done") {
-  Api api;
+TEST_CASE("keys, roles and bodies are checked before a request takes effect") {
+  ApiServer api;
   CHECK(api.get("/v1/operator/policy", "").status == 401);
   CHECK(api.post("/v1/operator/changes", kChange, "foreign").status == 401);
   CHECK(api.post("/v1/operator/changes", kChange, "viewer-key").status == 403);
