--- a/src/http/error_body.h
+++ b/src/http/error_body.h
@@ -10,7 +10,7 @@
 
 namespace quincewick::http {
 
-// Returns the HTTP status of an error code.
+// Returns the HTTP status of an error code; every code has one.
 int httpStatus(ErrorCode code);
 
 // Returns {"error":{"type","message","ran":"no|unknown|yes","retry_after_seconds"?,"request_id"}}.
