--- a/tests/soak/back_ends.cc
+++ b/tests/soak/back_ends.cc
@@ -10,13 +10,13 @@
 namespace quincewick::soak {
 namespace {
 
-constexpr absl::Duration kShortestWork = absl::Milliseconds(5);
+constexpr absl::Duration kMinWork = absl::Milliseconds(5);
 constexpr uint64_t kWorkSpreadMs = 40;
-constexpr absl::Duration kBetweenEvents = absl::Milliseconds(20);
-constexpr const char* kAttempt = "Quincewick-Attempt-Id";
-constexpr const char* kSignature = "Quincewick-Response-Signature";
+constexpr absl::Duration kEventInterval = absl::Milliseconds(20);
+constexpr const char* kAttemptHeader = "Quincewick-Attempt-Id";
+constexpr const char* kSignatureHeader = "Quincewick-Response-Signature";
 
-std::string fieldOf(const HttpHead& head, const char* name) {
+std::string headerValue(const HttpHead& head, const char* name) {
   const std::string* const value = findField(head.fields, name);
   return value == nullptr ? "" : *value;
 }
@@ -24,9 +24,10 @@
 }  // namespace
 
 // One connection of a gateway.
-class BackEnd::Talk final : public reactor::ConnectionHandler, public std::enable_shared_from_this<Talk> {
+class BackEnd::GatewayConnection final : public reactor::ConnectionHandler,
+                                         public std::enable_shared_from_this<GatewayConnection> {
  public:
-  Talk(BackEnd& back_end, size_t gateway, reactor::Connection::Socket socket)
+  GatewayConnection(BackEnd& back_end, size_t gateway, reactor::Connection::Socket socket)
       : back_end_(back_end),
         gateway_(gateway),
         connection_(std::make_shared<reactor::Connection>(std::move(socket))),
@@ -37,7 +38,7 @@
   void silence() { is_silent_ = true; }
   void reset() {
     if (std::exchange(is_open_, false)) {
-      noteBrokenOff();
+      recordAbort();
       connection_->abort();
     }
   }
@@ -61,160 +62,160 @@
 
   void serve() {
     const HttpHead& head = reader_.head();
-    attempt_ = fieldOf(head, kAttempt);
+    attempt_ = headerValue(head, kAttemptHeader);
     Arrival arrival;
     arrival.attempt = attempt_;
     arrival.back_end = back_end_.id_;
-    arrival.start = back_end_.started_;
+    arrival.back_end_started = back_end_.started_;
     arrival.service = back_end_.service_;
     arrival.gateway = back_end_.gateways_[gateway_];
-    arrival.key_owner = fieldOf(head, "Quincewick-Tenant");
+    arrival.tenant = headerValue(head, "Quincewick-Tenant");
     arrival.at = reactor::steadyNow();
-    arrival_ = back_end_.history_.arrivals.size();
+    arrival_index_ = back_end_.history_.arrivals.size();
     back_end_.history_.arrivals.push_back(arrival);
-    if (fieldOf(head, "Quincewick-Target-Instance") != back_end_.id_) {
-      answer(421, {{"Quincewick-Not-Executed", "1"}, {"Quincewick-Instance-Id", back_end_.id_}}, "");
+    if (headerValue(head, "Quincewick-Target-Instance") != back_end_.id_) {
+      respond(421, {{"Quincewick-Not-Executed", "1"}, {"Quincewick-Instance-Id", back_end_.id_}}, "");
       return;
     }
-    if (back_end_.speech_.rest) {
-      answer(503, {{"Quincewick-Not-Executed", "1"}}, "");
+    if (back_end_.announcements_.back_off_period) {
+      respond(503, {{"Quincewick-Not-Executed", "1"}}, "");
       return;
     }
-    if (back_end_.misbehaviour_.refuses && back_end_.misbehavesNow()) {
-      answer(503, {{"Quincewick-Not-Executed", "1"}}, "");
+    if (back_end_.request_faults_.refuses && back_end_.drawFault()) {
+      respond(503, {{"Quincewick-Not-Executed", "1"}}, "");
       return;
     }
-    note().ran = true;
+    record().ran = true;
     const absl::Duration work =
-        kShortestWork + absl::Milliseconds(static_cast<int64_t>(back_end_.random_() % kWorkSpreadMs));
+        kMinWork + absl::Milliseconds(static_cast<int64_t>(back_end_.random_() % kWorkSpreadMs));
     const bool is_stream = head.target.starts_with("/stream") || head.target.starts_with("/resumed");
     int first = 1;
     int last_event = 0;
-    if (absl::SimpleAtoi(fieldOf(head, "Last-Event-Id"), &last_event)) {
+    if (absl::SimpleAtoi(headerValue(head, "Last-Event-Id"), &last_event)) {
       first = last_event + 1;
     }
-    later(work, [this, is_stream, first] {
+    runAfter(work, [this, is_stream, first] {
       if (is_stream) {
         beginStream(first);
       } else {
-        finishPlain();
+        finishPlainResponse();
       }
     });
   }
 
-  void finishPlain() {
-    const Misbehaviour& misbehaviour = back_end_.misbehaviour_;
-    if (misbehaviour.loses_answers && back_end_.misbehavesNow()) {
+  void finishPlainResponse() {
+    const RequestFaults& request_faults = back_end_.request_faults_;
+    if (request_faults.drops_responses && back_end_.drawFault()) {
       reset();
       return;
     }
-    const bool fails = misbehaviour.fails && back_end_.misbehavesNow();
+    const bool fails = request_faults.fails && back_end_.drawFault();
     const std::string body =
         absl::StrCat(fails ? "failure" : "answer", " to ", attempt_, " of ", back_end_.id_);
-    const std::string signature = absl::StrCat(back_end_.id_, ".", attempt_, ".", arrival_);
-    note().status = fails ? 500 : 200;
-    note().signature = signature;
-    note().body = body;
-    if (misbehaviour.cuts_answers && back_end_.misbehavesNow()) {
-      sendHead(200, {{kSignature, signature}, {"Content-Length", absl::StrCat(body.size())}});
+    const std::string signature = absl::StrCat(back_end_.id_, ".", attempt_, ".", arrival_index_);
+    record().status = fails ? 500 : 200;
+    record().signature = signature;
+    record().body = body;
+    if (request_faults.truncates_responses && back_end_.drawFault()) {
+      sendHead(200, {{kSignatureHeader, signature}, {"Content-Length", absl::StrCat(body.size())}});
       connection_->send(body.substr(0, body.size() / 2));
-      endInTheMiddle();
+      closeMidResponse();
       return;
     }
-    answer(fails ? 500 : 200, {{kSignature, signature}}, body);
+    respond(fails ? 500 : 200, {{kSignatureHeader, signature}}, body);
   }
 
   void beginStream(int first) {
-    const std::string signature = absl::StrCat(back_end_.id_, ".", attempt_, ".", arrival_);
-    note().signature = signature;
-    note().status = 200;
-    sendHead(
-        200,
-        {{kSignature, signature}, {"Transfer-Encoding", "chunked"}, {"Content-Type", "text/event-stream"}});
+    const std::string signature = absl::StrCat(back_end_.id_, ".", attempt_, ".", arrival_index_);
+    record().signature = signature;
+    record().status = 200;
+    sendHead(200, {{kSignatureHeader, signature},
+                   {"Transfer-Encoding", "chunked"},
+                   {"Content-Type", "text/event-stream"}});
     sendEvent(first);
   }
 
   void sendEvent(int number) {
-    if (number > kEventsOfAStream) {
+    if (number > kEventsPerStream) {
       connection_->send(kLastChunk);
-      done();
+      finishRequest();
       return;
     }
-    const bool is_cut = back_end_.misbehaviour_.cuts_answers && number > 2 && back_end_.misbehavesNow();
+    const bool is_cut = back_end_.request_faults_.truncates_responses && number > 2 && back_end_.drawFault();
     const std::string event = absl::StrCat("id: ", number, "\ndata: ", attempt_, " ", number, "\n\n");
     if (is_cut) {
       connection_->send(printChunk(event.substr(0, event.size() / 2)));
-      endInTheMiddle();
+      closeMidResponse();
       return;
     }
     connection_->send(printChunk(event));
-    later(kBetweenEvents, [this, number] { sendEvent(number + 1); });
+    runAfter(kEventInterval, [this, number] { sendEvent(number + 1); });
   }
 
-  void answer(int status, HeaderFields fields, const std::string& body) {
+  void respond(int status, HeaderFields fields, const std::string& body) {
     fields.push_back({"Content-Length", absl::StrCat(body.size())});
     sendHead(status, std::move(fields));
     connection_->send(body);
-    done();
+    finishRequest();
   }
 
   void sendHead(int status, HeaderFields fields) {
-    fields.push_back({kAttempt, attempt_});
-    speak(fields);
-    note().head_sent = reactor::steadyNow();
+    fields.push_back({kAttemptHeader, attempt_});
+    addAnnouncements(fields);
+    record().head_sent = reactor::steadyNow();
     connection_->send(printAnswerHead(status, reasonOf(status), fields));
   }
 
   // Adds what the back end says of itself, and notes what of it can be read.
-  void speak(HeaderFields& fields) {
-    const Speech& speech = back_end_.speech_;
-    if (speech.is_ill) {
+  void addAnnouncements(HeaderFields& fields) {
+    const Announcements& announcements = back_end_.announcements_;
+    if (announcements.is_malformed) {
       fields.push_back({"Server-Limit", "-3"});
       fields.push_back({"Server-Leaving", "perhaps"});
       fields.push_back({"Retry-After", "tomorrow"});
       return;
     }
-    if (speech.leaves) {
+    if (announcements.is_leaving) {
       fields.push_back({"Server-Leaving", "1"});
     }
-    if (speech.rate) {
-      fields.push_back({"Server-Limit", absl::StrCat(*speech.rate)});
+    if (announcements.rate) {
+      fields.push_back({"Server-Limit", absl::StrCat(*announcements.rate)});
     }
-    if (speech.rest) {
-      fields.push_back({"Retry-After", absl::StrCat(absl::ToDoubleSeconds(*speech.rest))});
+    if (announcements.back_off_period) {
+      fields.push_back({"Retry-After", absl::StrCat(absl::ToDoubleSeconds(*announcements.back_off_period))});
     }
-    note().said_leaving = speech.leaves;
-    note().named_rate = speech.rate;
-    note().asked_rest = speech.rest;
+    record().announced_leaving = announcements.is_leaving;
+    record().advertised_rate = announcements.rate;
+    record().requested_back_off = announcements.back_off_period;
   }
 
-  void done() {
+  void finishRequest() {
     is_busy_ = false;
     reader_.next();
     reader_.take({});
     serveNext();
   }
 
-  void endInTheMiddle() {
-    noteBrokenOff();
+  void closeMidResponse() {
+    recordAbort();
     is_open_ = false;
     connection_->closeWhenSent();
   }
 
-  Arrival& note() { return back_end_.history_.arrivals[arrival_]; }
-  void noteBrokenOff() {
+  Arrival& record() { return back_end_.history_.arrivals[arrival_index_]; }
+  void recordAbort() {
     if (is_busy_) {
-      note().is_broken_off = true;
+      record().is_aborted = true;
     }
   }
 
   // A silent connection says nothing more, whatever its request does.
-  void later(absl::Duration after, const std::function<void()>& action) {
+  void runAfter(absl::Duration after, const std::function<void()>& action) {
     back_end_.timers_.schedule(reactor::steadyNow() + after, [self = shared_from_this(), action] {
       if (self->is_open_ && !self->is_silent_) {
         action();
       } else {
-        self->noteBrokenOff();
+        self->recordAbort();
       }
     });
   }
@@ -227,7 +228,7 @@
   bool is_busy_ = false;
   bool is_silent_ = false;
   std::string attempt_;
-  size_t arrival_ = 0;
+  size_t arrival_index_ = 0;
 };
 
 BackEnd::BackEnd(boost::asio::io_context& reactor, reactor::TimerQueue& timers, History& history,
@@ -263,29 +264,29 @@
 }
 
 void BackEnd::accept(size_t gateway, reactor::Connection::Socket socket) {
-  talks_.push_back(std::make_shared<Talk>(*this, gateway, std::move(socket)));
-  talks_.back()->start();
+  connections_.push_back(std::make_shared<GatewayConnection>(*this, gateway, std::move(socket)));
+  connections_.back()->start();
 }
 
 void BackEnd::resetConnections(size_t gateway) {
-  for (const auto& talk : talks_) {
-    if (talk->gateway() == gateway) {
-      talk->reset();
+  for (const auto& connection : connections_) {
+    if (connection->gateway() == gateway) {
+      connection->reset();
     }
   }
 }
 
 void BackEnd::silenceConnections(size_t gateway) {
-  for (const auto& talk : talks_) {
-    if (talk->gateway() == gateway) {
-      talk->silence();
+  for (const auto& connection : connections_) {
+    if (connection->gateway() == gateway) {
+      connection->silence();
     }
   }
 }
 
 void BackEnd::crash() {
-  for (const auto& talk : talks_) {
-    talk->reset();
+  for (const auto& connection : connections_) {
+    connection->reset();
   }
   for (const auto& listener : listeners_) {
     listener->close();
--- a/tests/soak/back_ends.h
+++ b/tests/soak/back_ends.h
@@ -19,22 +19,22 @@
 
 namespace quincewick::soak {
 
-inline constexpr int kEventsOfAStream = 8;
+inline constexpr int kEventsPerStream = 8;
 
 // How a back end treats half of its requests.
-struct Misbehaviour {
+struct RequestFaults {
   bool refuses = false;
   bool fails = false;
-  bool loses_answers = false;
-  bool cuts_answers = false;
+  bool drops_responses = false;
+  bool truncates_responses = false;
 };
 
 // What a back end says of itself in its answers.
-struct Speech {
-  bool leaves = false;
+struct Announcements {
+  bool is_leaving = false;
   std::optional<double> rate;
-  std::optional<absl::Duration> rest;  // it turns everything away, and asks for it
-  bool is_ill = false;                 // in place of all these, what can't be read
+  std::optional<absl::Duration> back_off_period;  // it turns everything away, and asks for it
+  bool is_malformed = false;                      // in place of all these, what can't be read
 };
 
 // One start of a server.
@@ -52,8 +52,8 @@
   const std::string& service() const { return service_; }
   // Its start, by the time of day.
   absl::Time started() const { return started_; }
-  Misbehaviour& misbehaviour() { return misbehaviour_; }
-  Speech& speech() { return speech_; }
+  RequestFaults& request_faults() { return request_faults_; }
+  Announcements& announcements() { return announcements_; }
   // Where that gateway reaches it.
   Address addressFor(size_t gateway) const;
   std::vector<uint16_t> ports() const;
@@ -64,9 +64,9 @@
   void crash();
 
  private:
-  class Talk;
+  class GatewayConnection;
   void accept(size_t gateway, reactor::Connection::Socket socket);
-  bool misbehavesNow() { return random_() % 2 == 0; }
+  bool drawFault() { return random_() % 2 == 0; }
 
   boost::asio::io_context& reactor_;
   reactor::TimerQueue& timers_;
@@ -76,10 +76,10 @@
   absl::Time started_;
   std::vector<std::string> gateways_;
   std::mt19937_64 random_;
-  Misbehaviour misbehaviour_;
-  Speech speech_;
+  RequestFaults request_faults_;
+  Announcements announcements_;
   std::vector<std::unique_ptr<reactor::Listener>> listeners_;
-  std::vector<std::shared_ptr<Talk>> talks_;
+  std::vector<std::shared_ptr<GatewayConnection>> connections_;
 };
 
 }  // namespace quincewick::soak
--- a/tests/soak/callers.h
+++ b/tests/soak/callers.h
@@ -19,18 +19,18 @@
 
 namespace quincewick::soak {
 
-class Entry {
+class LoadBalancer {
  public:
-  Entry(boost::asio::io_context& reactor, reactor::TimerQueue& timers, const Processes& processes);
+  LoadBalancer(boost::asio::io_context& reactor, reactor::TimerQueue& timers, const Processes& processes);
   // A gateway for a new connection of that caller.
   size_t choose(uint64_t caller);
-  bool isReady(size_t gateway) const { return gateways_[gateway].is_in; }
+  bool isReady(size_t gateway) const { return gateways_[gateway].is_ready; }
 
  private:
   struct Gateway {
     std::unique_ptr<reactor::HttpCaller> caller;
-    int misses = 0;
-    bool is_in = false;
+    int failed_polls = 0;
+    bool is_ready = false;
   };
   void poll(size_t gateway);
 
@@ -45,31 +45,32 @@
 struct Traffic {
   std::vector<std::string> keys;  // of tenants; some may have been taken away
   bool has_new_route = false;
-  bool is_over = false;
+  bool is_finished = false;
 };
 
 class Caller {
  public:
-  Caller(boost::asio::io_context& reactor, reactor::TimerQueue& timers, History& history, Entry& entry,
-         const Processes& processes, const Traffic& traffic, uint64_t number, uint64_t seed);
+  Caller(boost::asio::io_context& reactor, reactor::TimerQueue& timers, History& history,
+         LoadBalancer& load_balancer, const Processes& processes, const Traffic& traffic, uint64_t number,
+         uint64_t seed);
   ~Caller();
 
  private:
-  class Talk;
-  void think();
-  void begin();
+  class GatewayConnection;
+  void scheduleNextRequest();
+  void sendNextRequest();
   Request makeRequest();
 
   boost::asio::io_context& reactor_;
   reactor::TimerQueue& timers_;
   History& history_;
-  Entry& entry_;
+  LoadBalancer& load_balancer_;
   const Processes& processes_;
   const Traffic& traffic_;
   uint64_t number_;
   std::mt19937_64 random_;
-  uint64_t asked_ = 0;
-  std::shared_ptr<Talk> talk_;
+  uint64_t request_count_ = 0;
+  std::shared_ptr<GatewayConnection> gateway_connection_;
 };
 
 }  // namespace quincewick::soak
--- a/tests/soak/engines.h
+++ b/tests/soak/engines.h
@@ -29,13 +29,13 @@
   Engines& operator=(const Engines&) = delete;
 
   // The operator names the version after the last one.
-  void nameWeights();
+  void publishNextVersion();
 
  private:
   class Engine;
 
   Store& store_;
-  uint64_t named_version_ = 1;
+  uint64_t target_version_ = 1;
   std::vector<std::unique_ptr<Engine>> engines_;
 };
 
--- a/tests/soak/fault_switches.cc
+++ b/tests/soak/fault_switches.cc
@@ -4,31 +4,31 @@
 
 namespace quincewick::soak {
 
-void setTrouble(StoreTrouble& trouble, FaultKind kind, bool is_struck, bool on) {
-  trouble.refuses = kind == FaultKind::kStoreRefuses && is_struck ? on : trouble.refuses;
-  trouble.is_silent = kind == FaultKind::kStoreDown || (kind == FaultKind::kStoreSilent && is_struck)
-                          ? on
-                          : trouble.is_silent;
-  trouble.is_slow = kind == FaultKind::kStoreSlow ? on : trouble.is_slow;
-  trouble.loses_answers = kind == FaultKind::kStoreLosesAnswers ? on : trouble.loses_answers;
+void setStoreFault(StoreFaults& faults, FaultKind kind, bool is_target, bool on) {
+  faults.refuses = kind == FaultKind::kStoreRefuses && is_target ? on : faults.refuses;
+  faults.is_silent =
+      kind == FaultKind::kStoreDown || (kind == FaultKind::kStoreSilent && is_target) ? on : faults.is_silent;
+  faults.is_slow = kind == FaultKind::kStoreSlow ? on : faults.is_slow;
+  faults.drops_responses = kind == FaultKind::kStoreDropsResponses ? on : faults.drops_responses;
 }
 
-void setSpeech(Speech& speech, const Fault& fault, bool on) {
+void setAnnouncement(Announcements& announcements, const Fault& fault, bool on) {
   static constexpr std::array kRates = {0.0, 0.5, 1.1, 4.0, 12.0};
-  if (fault.kind == FaultKind::kBackEndNamesRate) {
-    speech.rate = on ? std::optional(kRates.at(fault.target % kRates.size())) : std::nullopt;
-  } else if (fault.kind == FaultKind::kBackEndRests) {
-    speech.rest = on ? std::optional(fault.lasts / 2) : std::nullopt;
+  if (fault.kind == FaultKind::kBackEndAdvertisesRate) {
+    announcements.rate = on ? std::optional(kRates.at(fault.target % kRates.size())) : std::nullopt;
+  } else if (fault.kind == FaultKind::kBackEndBacksOff) {
+    announcements.back_off_period = on ? std::optional(fault.duration / 2) : std::nullopt;
   } else {
-    speech.is_ill = on;
+    announcements.is_malformed = on;
   }
 }
 
-void setMisbehaviour(Misbehaviour& misbehaviour, FaultKind kind, bool on) {
-  misbehaviour.refuses = kind == FaultKind::kBackEndRefuses ? on : misbehaviour.refuses;
-  misbehaviour.fails = kind == FaultKind::kBackEndFails ? on : misbehaviour.fails;
-  misbehaviour.loses_answers = kind == FaultKind::kAnswersLost ? on : misbehaviour.loses_answers;
-  misbehaviour.cuts_answers = kind == FaultKind::kAnswersCut ? on : misbehaviour.cuts_answers;
+void setRequestFault(RequestFaults& request_faults, FaultKind kind, bool on) {
+  request_faults.refuses = kind == FaultKind::kBackEndRefuses ? on : request_faults.refuses;
+  request_faults.fails = kind == FaultKind::kBackEndFails ? on : request_faults.fails;
+  request_faults.drops_responses = kind == FaultKind::kResponsesLost ? on : request_faults.drops_responses;
+  request_faults.truncates_responses =
+      kind == FaultKind::kResponsesTruncated ? on : request_faults.truncates_responses;
 }
 
 }  // namespace quincewick::soak
--- a/tests/soak/fault_switches.h
+++ b/tests/soak/fault_switches.h
@@ -7,9 +7,9 @@
 
 namespace quincewick::soak {
 
-// `is_struck`: the fault's target is that gateway.
-void setTrouble(StoreTrouble& trouble, FaultKind kind, bool is_struck, bool on);
-void setSpeech(Speech& speech, const Fault& fault, bool on);
-void setMisbehaviour(Misbehaviour& misbehaviour, FaultKind kind, bool on);
+// `is_target`: the fault's target is that gateway.
+void setStoreFault(StoreFaults& faults, FaultKind kind, bool is_target, bool on);
+void setAnnouncement(Announcements& announcements, const Fault& fault, bool on);
+void setRequestFault(RequestFaults& request_faults, FaultKind kind, bool on);
 
 }  // namespace quincewick::soak
--- a/tests/soak/history.cc
+++ b/tests/soak/history.cc
@@ -27,8 +27,8 @@
   return result;
 }
 
-bool mayRunOnce(RequestKind kind) {
-  return kind == RequestKind::kOnce || kind == RequestKind::kStream;
+bool isNonRepeatable(RequestKind kind) {
+  return kind == RequestKind::kNonRepeatable || kind == RequestKind::kStream;
 }
 
 bool isStream(RequestKind kind) {
@@ -39,11 +39,11 @@
   return status >= kFirstSuccess && status < kFirstRedirect;
 }
 
-bool promisesNotRun(int status) {
+bool guaranteesNotExecuted(int status) {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
-size_t runs(const ArrivalsByAttempt& arrivals, const std::string& attempt) {
+size_t countRuns(const ArrivalsByAttempt& arrivals, const std::string& attempt) {
   const auto found = arrivals.find(attempt);
   return found == arrivals.end()
              ? 0
@@ -54,9 +54,9 @@
 PromiseResult checkAtMostOnce(const History& history, const ArrivalsByAttempt& arrivals) {
   PromiseResult result{"what may run once runs at most once", 0, {}};
   for (const Request& request : history.requests) {
-    if (mayRunOnce(request.kind)) {
+    if (isNonRepeatable(request.kind)) {
       ++result.checks;
-      if (const size_t count = runs(arrivals, request.attempt); count > 1) {
+      if (const size_t count = countRuns(arrivals, request.attempt); count > 1) {
         addViolation(result, absl::StrCat("ran ", count, " times"), request.attempt);
       }
     }
@@ -68,9 +68,10 @@
 PromiseResult checkRefusals(const History& history, const ArrivalsByAttempt& arrivals) {
   PromiseResult result{"what was refused has not run and never does", 0, {}};
   for (const Request& request : history.requests) {
-    if (mayRunOnce(request.kind) && request.end == RequestEnd::kAnswered && promisesNotRun(request.status)) {
+    if (isNonRepeatable(request.kind) && request.outcome == RequestOutcome::kCompleted &&
+        guaranteesNotExecuted(request.status)) {
       ++result.checks;
-      if (runs(arrivals, request.attempt) > 0) {
+      if (countRuns(arrivals, request.attempt) > 0) {
         addViolation(result, absl::StrCat("answered ", request.status, ", and ran"), request.attempt);
       }
     }
@@ -78,12 +79,13 @@
   return result;
 }
 
-PromiseResult checkOwnAnswers(const History& history, const ArrivalsByAttempt& arrivals) {
+PromiseResult checkResponses(const History& history, const ArrivalsByAttempt& arrivals) {
   PromiseResult result{"each caller gets its own answer, whole", 0, {}};
   for (const Request& request : history.requests) {
-    if (request.end != RequestEnd::kAnswered || isStream(request.kind) || request.signature.empty()) {
-      const bool is_unsigned_success =
-          request.end == RequestEnd::kAnswered && isSuccess(request.status) && request.signature.empty();
+    if (request.outcome != RequestOutcome::kCompleted || isStream(request.kind) ||
+        request.signature.empty()) {
+      const bool is_unsigned_success = request.outcome == RequestOutcome::kCompleted &&
+                                       isSuccess(request.status) && request.signature.empty();
       if (is_unsigned_success) {
         addViolation(result, "a success that no back end signed", request.attempt);
       }
@@ -121,8 +123,8 @@
         break;
       }
     }
-    const bool claims_whole = request.end == RequestEnd::kAnswered && isSuccess(request.status);
-    if (claims_whole && static_cast<int>(request.events.size()) != history.events_of_a_stream) {
+    const bool claims_complete = request.outcome == RequestOutcome::kCompleted && isSuccess(request.status);
+    if (claims_complete && static_cast<int>(request.events.size()) != history.events_per_stream) {
       addViolation(result, absl::StrCat("ended as whole after ", request.events.size(), " events"),
                    request.attempt);
     }
@@ -163,19 +165,19 @@
       continue;
     }
     for (const Request& request : history.requests) {
-      const bool is_under_way = request.gateway == stop.gateway && request.ended >= stop.begin &&
+      const bool is_in_flight = request.gateway == stop.gateway && request.ended >= stop.begin &&
                                 request.sent <= stop.begin + bounds.stop_grace;
-      if (!is_under_way ||
-          isDisturbed(history, request.gateway, request.sent - bounds.in_touch_after, request.ended, false)) {
+      if (!is_in_flight ||
+          isDisturbed(history, request.gateway, request.sent - bounds.settling_time, request.ended, false)) {
         continue;
       }
       ++result.checks;
       const auto found = arrivals.find(request.attempt);
-      const bool was_passed_on = found != arrivals.end();
-      const bool is_back_ends_fault =
-          was_passed_on && std::any_of(found->second.begin(), found->second.end(),
-                                       [](const Arrival* arrival) { return arrival->is_broken_off; });
-      if (request.end == RequestEnd::kCut && was_passed_on && !is_back_ends_fault) {
+      const bool was_forwarded = found != arrivals.end();
+      const bool was_aborted_by_back_end =
+          was_forwarded && std::any_of(found->second.begin(), found->second.end(),
+                                       [](const Arrival* arrival) { return arrival->is_aborted; });
+      if (request.outcome == RequestOutcome::kConnectionLost && was_forwarded && !was_aborted_by_back_end) {
         addViolation(result, absl::StrCat("cut at ", request.gateway), request.attempt);
       }
     }
@@ -183,7 +185,7 @@
   return result;
 }
 
-PromiseResult checkRepeats(const History& history, const Bounds& bounds) {
+PromiseResult checkRetryBudget(const History& history, const Bounds& bounds) {
   PromiseResult result{"repeats stay within the site's budget", 0, {}};
   absl::flat_hash_map<std::string, std::vector<absl::Time>> requests;
   absl::flat_hash_map<std::string, std::vector<absl::Time>> repeats;
@@ -203,10 +205,11 @@
     for (const absl::Time& begin : times) {
       ++result.checks;
       const absl::Duration width = bounds.retry_window;
-      const size_t most = std::max({within(asked, begin, width), within(asked, begin - width, width),
-                                    within(asked, begin - width / 2, width)});
+      const size_t most =
+          std::max({countWithin(asked, begin, width), countWithin(asked, begin - width, width),
+                    countWithin(asked, begin - width / 2, width)});
       const double allowed = bounds.retry_ratio * static_cast<double>(most) + bounds.retry_constant;
-      const size_t count = within(times, begin, width);
+      const size_t count = countWithin(times, begin, width);
       if (static_cast<double>(count) > allowed) {
         result.violations.push_back(
             {absl::StrCat(service, ": ", count, " repeats, ", allowed, " allowed"), {}});
@@ -219,7 +222,7 @@
 
 PromiseResult checkProcesses(const History& history, const Bounds& bounds) {
   PromiseResult result{"processes live on, and stay small", 0, {}};
-  for (const OwnEnd& end : history.own_ends) {
+  for (const UnexpectedExit& end : history.unexpected_exits) {
     result.violations.push_back(
         {absl::StrCat(end.gateway, " ended by itself, wait status ", end.wait_status), {}});
   }
@@ -237,15 +240,15 @@
 PromiseResult checkLeaving(const History& history, const Bounds& bounds) {
   PromiseResult result{"nothing new comes to a back end that left", 0, {}};
   absl::flat_hash_map<std::string, absl::Time> left;
-  for (const Leaving& leaving : history.leavings) {
-    const auto [place, is_first] = left.try_emplace(leaving.back_end, leaving.at);
-    place->second = std::min(place->second, leaving.at);
+  for (const BackEndDeparture& leaving : history.departures) {
+    const auto [position, is_first] = left.try_emplace(leaving.back_end, leaving.at);
+    position->second = std::min(position->second, leaving.at);
   }
   for (const Arrival& arrival : history.arrivals) {
     const auto found = left.find(arrival.back_end);
     const bool is_after = found != left.end() && arrival.at > found->second;
     if (!is_after ||
-        isDisturbed(history, arrival.gateway, arrival.at - bounds.in_touch_after, arrival.at, true)) {
+        isDisturbed(history, arrival.gateway, arrival.at - bounds.settling_time, arrival.at, true)) {
       continue;
     }
     ++result.checks;
@@ -267,7 +270,7 @@
         continue;
       }
       ++result.checks;
-      if (runs(arrivals, request.attempt) > 0) {
+      if (countRuns(arrivals, request.attempt) > 0) {
         addViolation(result, absl::StrCat("ran under ", removal.key), request.attempt);
       }
     }
@@ -276,15 +279,15 @@
 }
 
 // A server's own answer is signed.
-bool isRejectedAsUnknown(const Request& request) {
+bool isRouteNotFound(const Request& request) {
   return request.status == kNotFound && request.signature.empty();
 }
 
-PromiseResult checkLastingRoutes(const History& history) {
+PromiseResult checkPermanentRoutes(const History& history) {
   PromiseResult result{"a route that every configuration has is always known", 0, {}};
   for (const Request& request : history.requests) {
-    result.checks += request.is_on_added_route ? 0 : 1;
-    if (!request.is_on_added_route && isRejectedAsUnknown(request)) {
+    result.checks += request.uses_added_route ? 0 : 1;
+    if (!request.uses_added_route && isRouteNotFound(request)) {
       addViolation(result, absl::StrCat("404 from ", request.gateway), request.attempt);
     }
   }
@@ -292,11 +295,11 @@
 }
 
 // Whether the added route has been there for so long when the request was sent, and until it ended.
-bool isRouteInForce(const History& history, const Request& request, absl::Duration bound) {
+bool isRouteActive(const History& history, const Request& request, absl::Duration bound) {
   bool is_in_force = false;
   for (const RouteChange& change : history.route_changes) {
     if (change.at <= request.sent - bound) {
-      is_in_force = change.is_there;
+      is_in_force = change.is_present;
     } else if (change.at <= request.ended) {
       is_in_force = false;
     }
@@ -307,12 +310,12 @@
 PromiseResult checkAddedRoutes(const History& history, const Bounds& bounds) {
   PromiseResult result{"an added route is known in time", 0, {}};
   for (const Request& request : history.requests) {
-    if (!request.is_on_added_route || !isRouteInForce(history, request, bounds.configuration_in_force) ||
-        isDisturbed(history, request.gateway, request.sent - bounds.in_touch_after, request.ended, true)) {
+    if (!request.uses_added_route || !isRouteActive(history, request, bounds.configuration_in_force) ||
+        isDisturbed(history, request.gateway, request.sent - bounds.settling_time, request.ended, true)) {
       continue;
     }
     ++result.checks;
-    if (isRejectedAsUnknown(request)) {
+    if (isRouteNotFound(request)) {
       addViolation(result, absl::StrCat("404 from ", request.gateway), request.attempt);
     }
   }
@@ -342,26 +345,26 @@
   }
 }
 
-size_t servedInARow(const History& history, size_t from, const std::string& key) {
-  size_t in_a_row = 0;
+size_t consecutiveServed(const History& history, size_t from, const std::string& key) {
+  size_t consecutive = 0;
   for (size_t index = from; index < history.requests.size(); ++index) {
     const Request& request = history.requests[index];
-    const bool is_served = request.end == RequestEnd::kAnswered && request.status == 200;
-    const bool is_known =
-        request.end != RequestEnd::kOpen && request.end != RequestEnd::kLeft && request.key == key;
-    in_a_row = !is_known ? in_a_row : is_served ? in_a_row + 1 : 0;
+    const bool is_served = request.outcome == RequestOutcome::kCompleted && request.status == 200;
+    const bool is_known = request.outcome != RequestOutcome::kPending &&
+                          request.outcome != RequestOutcome::kAbandoned && request.key == key;
+    consecutive = !is_known ? consecutive : is_served ? consecutive + 1 : 0;
   }
-  return in_a_row;
+  return consecutive;
 }
 
 std::vector<PromiseResult> checkPromises(const History& history, const Bounds& bounds, bool timed) {
   const ArrivalsByAttempt arrivals = byAttempt(history);
   std::vector<PromiseResult> results = {
       checkAtMostOnce(history, arrivals), checkRefusals(history, arrivals),
-      checkOwnAnswers(history, arrivals), checkStreams(history),
+      checkResponses(history, arrivals),  checkStreams(history),
       checkServices(history, arrivals),   checkPlannedStops(history, bounds, arrivals),
-      checkRepeats(history, bounds),      checkProcesses(history, bounds),
-      checkLastingRoutes(history),        checkFences(history),
+      checkRetryBudget(history, bounds),  checkProcesses(history, bounds),
+      checkPermanentRoutes(history),      checkFences(history),
   };
   if (timed) {
     results.push_back(checkLeaving(history, bounds));
--- a/tests/soak/history.h
+++ b/tests/soak/history.h
@@ -10,15 +10,15 @@
 
 namespace quincewick::soak {
 
-enum class RequestKind : uint8_t { kRepeatable, kOnce, kResumableStream, kStream };
+enum class RequestKind : uint8_t { kRepeatable, kNonRepeatable, kResumableStream, kStream };
 
 // How a caller saw its request end.
-enum class RequestEnd : uint8_t {
-  kOpen,      // not yet
-  kAnswered,  // the answer ended in good order
-  kCut,       // the connection ended before that
-  kUnsent,    // no connection came up, or it ended before the request was whole
-  kLeft,      // the caller gave it up
+enum class RequestOutcome : uint8_t {
+  kPending,         // not yet
+  kCompleted,       // the answer ended in good order
+  kConnectionLost,  // the connection ended before that
+  kUnsent,          // no connection came up, or it ended before the request was whole
+  kAbandoned,       // the caller gave it up
 };
 
 // One attempt of a caller, with an id of its own.
@@ -26,12 +26,12 @@
   std::string attempt;
   RequestKind kind = RequestKind::kRepeatable;
   std::string gateway;
-  std::string service;             // of its route
-  bool is_on_added_route = false;  // which isn't in every configuration
+  std::string service;            // of its route
+  bool uses_added_route = false;  // which isn't in every configuration
   std::string key;
   absl::Time sent;
   absl::Time ended = absl::InfiniteFuture();
-  RequestEnd end = RequestEnd::kOpen;
+  RequestOutcome outcome = RequestOutcome::kPending;
   int status = 0;
   std::string signature;
   std::string body;         // of answers that are no streams
@@ -43,25 +43,25 @@
 struct Arrival {
   std::string attempt;
   std::string back_end;
-  absl::Time start;  // of the back end
+  absl::Time back_end_started;
   std::string service;
   std::string gateway;
-  std::string key_owner;  // the tenant that the gateway named
+  std::string tenant;  // the tenant that the gateway named
   absl::Time at;
   bool ran = false;
-  bool is_broken_off = false;  // by the back end
+  bool is_aborted = false;  // by the back end
   int status = 0;
   std::string signature;
   std::string body;
   // What the answer's head said of the back end, and when it was sent.
   absl::Time head_sent = absl::InfiniteFuture();
-  bool said_leaving = false;
-  std::optional<double> named_rate;
-  std::optional<absl::Duration> asked_rest;
+  bool announced_leaving = false;
+  std::optional<double> advertised_rate;
+  std::optional<absl::Duration> requested_back_off;
 };
 
 // The store acknowledged that the back end leaves, or its entry is gone.
-struct Leaving {
+struct BackEndDeparture {
   std::string back_end;
   absl::Time at;
 };
@@ -75,7 +75,7 @@
 // The store acknowledged a configuration that has the added route, or hasn't any more.
 struct RouteChange {
   absl::Time at;
-  bool is_there = false;
+  bool is_present = false;
 };
 
 struct Disturbance {
@@ -86,7 +86,7 @@
 };
 
 // A gateway's process that ended though nobody ended it.
-struct OwnEnd {
+struct UnexpectedExit {
   std::string gateway;
   int wait_status = 0;
 };
@@ -109,14 +109,14 @@
 struct History {
   std::vector<Request> requests;
   std::vector<Arrival> arrivals;
-  std::vector<Leaving> leavings;
+  std::vector<BackEndDeparture> departures;
   std::vector<KeyRemoval> key_removals;
   std::vector<RouteChange> route_changes;  // in order
   std::vector<Disturbance> disturbances;
-  std::vector<OwnEnd> own_ends;
+  std::vector<UnexpectedExit> unexpected_exits;
   std::vector<Order> orders;
   std::vector<ProcessSize> sizes;
-  int events_of_a_stream = 0;
+  int events_per_stream = 0;
   absl::Duration recovery = absl::InfiniteDuration();  // after the last fault
 };
 
@@ -125,7 +125,7 @@
 void attributeArrivals(History& history);
 
 // Of the requests under the key, from that index on, how many of the last ones got what they asked for.
-size_t servedInARow(const History& history, size_t from, const std::string& key);
+size_t consecutiveServed(const History& history, size_t from, const std::string& key);
 
 struct Bounds {
   absl::Duration server_drain = absl::Seconds(2);
@@ -133,22 +133,22 @@
   absl::Duration configuration_in_force = absl::Seconds(3);
   absl::Duration stop_grace = absl::Seconds(8);
   absl::Duration order_lease = absl::Seconds(3);
-  absl::Duration in_touch_after = absl::Seconds(3);  // of the last disturbance
+  absl::Duration settling_time = absl::Seconds(3);  // of the last disturbance
   absl::Duration recovery = absl::Seconds(12);
   double retry_ratio = 0.2;
   double retry_constant = 54;
   absl::Duration retry_window = absl::Seconds(10);
-  absl::Duration back_pressure_heard = absl::Milliseconds(500);  // what a back end said counts from then on
+  absl::Duration back_pressure_delay = absl::Milliseconds(500);  // what a back end said counts from then on
   absl::Duration rate_window = absl::Seconds(4);
   double rate_overshoot = 1.5;
   double rate_constant = 5;
-  size_t requests_in_a_rest = 2;
+  size_t requests_per_back_off = 2;
   uint64_t memory_bytes = uint64_t{64} << 20;
   uint64_t descriptors = 1024;
 };
 
 struct Violation {
-  std::string what;
+  std::string description;
   std::vector<std::string> attempts;
 };
 
--- a/tests/soak/history_test.cc
+++ b/tests/soak/history_test.cc
@@ -15,11 +15,12 @@
   request.attempt = attempt;
   request.kind = kind;
   request.gateway = "g-1";
-  request.service = kind == RequestKind::kOnce || kind == RequestKind::kRepeatable ? "calls" : "streams";
+  request.service =
+      kind == RequestKind::kNonRepeatable || kind == RequestKind::kRepeatable ? "calls" : "streams";
   request.key = "key";
   request.sent = kStart;
   request.ended = kStart + absl::Milliseconds(50);
-  request.end = RequestEnd::kAnswered;
+  request.outcome = RequestOutcome::kCompleted;
   request.status = 200;
   request.signature = "of " + attempt;
   request.body = "answer to " + attempt;
@@ -40,13 +41,13 @@
   return arrival;
 }
 
-struct Sound {
+struct CleanHistory {
   History history;
 
-  Sound() {
-    history.events_of_a_stream = 3;
+  CleanHistory() {
+    history.events_per_stream = 3;
     history.recovery = absl::Seconds(1);
-    for (const RequestKind kind : {RequestKind::kRepeatable, RequestKind::kOnce,
+    for (const RequestKind kind : {RequestKind::kRepeatable, RequestKind::kNonRepeatable,
                                    RequestKind::kResumableStream, RequestKind::kStream}) {
       Request request = makeRequest("a-" + std::to_string(history.requests.size()), kind);
       if (kind == RequestKind::kResumableStream || kind == RequestKind::kStream) {
@@ -74,51 +75,51 @@
   bool breaks(const std::string& promise) const { return broken() == std::vector<std::string>{promise}; }
 };
 
-TEST_CASE_METHOD(Sound, "a sound history keeps all promises") {
+TEST_CASE_METHOD(CleanHistory, "a sound history keeps all promises") {
   CHECK(broken().empty());
   CHECK(checkPromises(history, Bounds(), true).size() == 18);
   CHECK(checkPromises(history, Bounds(), false).size() == 10);
 }
 
-TEST_CASE_METHOD(Sound, "a second run of what may run once is found") {
+TEST_CASE_METHOD(CleanHistory, "a second run of what may run once is found") {
   history.arrivals.push_back(arrivalOfOnce());
   CHECK(breaks("what may run once runs at most once"));
 }
 
-TEST_CASE_METHOD(Sound, "a second arrival that did not run is none") {
+TEST_CASE_METHOD(CleanHistory, "a second arrival that did not run is none") {
   history.arrivals.push_back(arrivalOfOnce());
   history.arrivals.back().ran = false;
   CHECK(broken().empty());
 }
 
-TEST_CASE_METHOD(Sound, "a refusal of what ran, or runs later, is found") {
+TEST_CASE_METHOD(CleanHistory, "a refusal of what ran, or runs later, is found") {
   once().status = 503;
   once().signature = "";
   arrivalOfOnce().at = kStart + absl::Seconds(9);
   CHECK(breaks("what was refused has not run and never does"));
 }
 
-TEST_CASE_METHOD(Sound, "another's answer is found") {
+TEST_CASE_METHOD(CleanHistory, "another's answer is found") {
   repeatable().body = "answer to a-1";
   CHECK(breaks("each caller gets its own answer, whole"));
 }
 
-TEST_CASE_METHOD(Sound, "an answer with its end missing is found") {
+TEST_CASE_METHOD(CleanHistory, "an answer with its end missing is found") {
   repeatable().body.pop_back();
   CHECK(breaks("each caller gets its own answer, whole"));
 }
 
-TEST_CASE_METHOD(Sound, "a success that no back end signed is found") {
+TEST_CASE_METHOD(CleanHistory, "a success that no back end signed is found") {
   repeatable().signature = "";
   CHECK(breaks("each caller gets its own answer, whole"));
 }
 
-TEST_CASE_METHOD(Sound, "a back end's failure under another status is found") {
+TEST_CASE_METHOD(CleanHistory, "a back end's failure under another status is found") {
   repeatable().status = 502;
   CHECK(breaks("each caller gets its own answer, whole"));
 }
 
-TEST_CASE_METHOD(Sound, "events out of order, twice, missing or foreign are found") {
+TEST_CASE_METHOD(CleanHistory, "events out of order, twice, missing or foreign are found") {
   for (const std::vector<int>& events :
        {std::vector<int>{1, 3, 2}, std::vector<int>{1, 2, 2, 3}, std::vector<int>{1, 2}}) {
     stream().events = events;
@@ -129,13 +130,13 @@
   CHECK(breaks("streams are whole and in order"));
 }
 
-TEST_CASE_METHOD(Sound, "a stream that is cut visibly breaks nothing") {
+TEST_CASE_METHOD(CleanHistory, "a stream that is cut visibly breaks nothing") {
   stream().events = {1, 2};
-  stream().end = RequestEnd::kCut;
+  stream().outcome = RequestOutcome::kConnectionLost;
   CHECK(broken().empty());
 }
 
-TEST_CASE_METHOD(Sound, "a run at another service, or of nobody's request, is found") {
+TEST_CASE_METHOD(CleanHistory, "a run at another service, or of nobody's request, is found") {
   arrivalOfOnce().service = "streams";
   CHECK(breaks("requests run at their route's service alone"));
   arrivalOfOnce().service = "calls";
@@ -144,17 +145,17 @@
   CHECK(breaks("requests run at their route's service alone"));
 }
 
-TEST_CASE_METHOD(Sound, "a route that every configuration has and a gateway doesn't know is found") {
+TEST_CASE_METHOD(CleanHistory, "a route that every configuration has and a gateway doesn't know is found") {
   once().status = 404;
   once().signature = "";
   history.arrivals.erase(history.arrivals.begin() + 1);
   CHECK(breaks("a route that every configuration has is always known"));
 }
 
-TEST_CASE_METHOD(Sound, "an added route that isn't known in time is found") {
+TEST_CASE_METHOD(CleanHistory, "an added route that isn't known in time is found") {
   once().status = 404;
   once().signature = "";
-  once().is_on_added_route = true;
+  once().uses_added_route = true;
   history.arrivals.erase(history.arrivals.begin() + 1);
   const absl::Duration bound = Bounds().configuration_in_force;
   history.route_changes = {{once().sent - bound, true}};
@@ -165,61 +166,64 @@
   CHECK(broken().empty());
 }
 
-TEST_CASE_METHOD(Sound, "a request that a planned stop cuts is found, but not in other trouble") {
+TEST_CASE_METHOD(CleanHistory, "a request that a planned stop cuts is found, but not in other trouble") {
   history.disturbances.push_back({"g-1", kStart - absl::Seconds(1), kStart + absl::Seconds(7), true});
   CHECK(broken().empty());
-  once().end = RequestEnd::kCut;
+  once().outcome = RequestOutcome::kConnectionLost;
   CHECK(breaks("a planned stop cuts nothing"));
   history.disturbances.push_back({"", kStart - absl::Seconds(2), kStart - absl::Seconds(2), false});
   CHECK(broken().empty());
 }
 
-TEST_CASE_METHOD(Sound, "repeats beyond the budget are found") {
+TEST_CASE_METHOD(CleanHistory, "repeats beyond the budget are found") {
   for (int count = 0; count < 56; ++count) {
     history.arrivals.push_back(makeArrival(repeatable()));
   }
   CHECK(breaks("repeats stay within the site's budget"));
 }
 
-TEST_CASE_METHOD(Sound, "a process that ends by itself or grows is found") {
-  history.own_ends.push_back({"g-1", 11});
+TEST_CASE_METHOD(CleanHistory, "a process that ends by itself or grows is found") {
+  history.unexpected_exits.push_back({"g-1", 11});
   CHECK(breaks("processes live on, and stay small"));
-  history.own_ends.clear();
+  history.unexpected_exits.clear();
   history.sizes.push_back({"g-1", uint64_t{100} << 20, 40});
   CHECK(breaks("processes live on, and stay small"));
 }
 
-TEST_CASE_METHOD(Sound, "an arrival at a back end that left is found, but not from a disturbed gateway") {
-  history.leavings.push_back({"s-1", kStart - absl::Seconds(2.1)});
+TEST_CASE_METHOD(CleanHistory,
+                 "an arrival at a back end that left is found, but not from a disturbed gateway") {
+  history.departures.push_back({"s-1", kStart - absl::Seconds(2.1)});
   CHECK(breaks("nothing new comes to a back end that left"));
   history.disturbances.push_back({"g-1", kStart - absl::Seconds(1), kStart - absl::Seconds(1), false});
   CHECK(broken().empty());
 }
 
 TEST_CASE_METHOD(
-    Sound, "an arrival at a back end that said that it leaves is found, but not from a disturbed gateway") {
-  history.arrivals[0].said_leaving = true;
+    CleanHistory,
+    "an arrival at a back end that said that it leaves is found, but not from a disturbed gateway") {
+  history.arrivals[0].announced_leaving = true;
   history.arrivals[0].head_sent = kStart;
   Arrival late = history.arrivals[0];
-  late.said_leaving = false;
+  late.announced_leaving = false;
   late.at = kStart + absl::Milliseconds(2100);
   history.arrivals.push_back(late);
   CHECK(broken() == std::vector<std::string>{"nothing new comes to a back end that said that it leaves"});
-  history.arrivals.back().start += absl::Seconds(1);
+  history.arrivals.back().back_end_started += absl::Seconds(1);
   CHECK(broken().empty());
-  history.arrivals.back().start -= absl::Seconds(1);
+  history.arrivals.back().back_end_started -= absl::Seconds(1);
   history.disturbances.push_back({"g-1", kStart + absl::Seconds(1), kStart + absl::Seconds(1), false});
   CHECK(broken().empty());
 }
 
-TEST_CASE_METHOD(Sound, "an arrival is of the gateway that its caller asked, whosever port it came to") {
+TEST_CASE_METHOD(CleanHistory,
+                 "an arrival is of the gateway that its caller asked, whosever port it came to") {
   history.arrivals[0].gateway = "g-2";
   attributeArrivals(history);
   CHECK(history.arrivals[0].gateway == "g-1");
 }
 
-TEST_CASE_METHOD(Sound, "more than two arrivals in a rest from the gateway that was asked are found") {
-  history.arrivals[0].asked_rest = absl::Seconds(3);
+TEST_CASE_METHOD(CleanHistory, "more than two arrivals in a rest from the gateway that was asked are found") {
+  history.arrivals[0].requested_back_off = absl::Seconds(3);
   history.arrivals[0].head_sent = kStart;
   for (int count = 0; count < 3; ++count) {
     CHECK(broken().empty());
@@ -236,7 +240,7 @@
   CHECK(broken().empty());
 }
 
-TEST_CASE_METHOD(Sound,
+TEST_CASE_METHOD(CleanHistory,
                  "more arrivals than a rate allows are found, summed over the gateways that were told") {
   const auto add = [this](const char* gateway, absl::Duration at, std::optional<double> rate) {
     Arrival arrival = history.arrivals[1];
@@ -245,7 +249,7 @@
     arrival.head_sent = arrival.at;
     arrival.attempt = "further";
     arrival.ran = false;
-    arrival.named_rate = rate;
+    arrival.advertised_rate = rate;
     history.arrivals.push_back(arrival);
   };
   add("g-1", absl::ZeroDuration(), 1);
@@ -263,20 +267,20 @@
   CHECK(broken().empty());
 }
 
-TEST_CASE_METHOD(Sound, "a run under a key that was taken away is found, from any gateway") {
+TEST_CASE_METHOD(CleanHistory, "a run under a key that was taken away is found, from any gateway") {
   history.key_removals.push_back({"key", kStart - absl::Seconds(6)});
   history.disturbances.push_back({"g-1", kStart, kStart, false});
   CHECK(breaks("no request runs under a key that was taken away"));
 }
 
-TEST_CASE_METHOD(Sound, "orders of two holders under one fence are found, however far apart") {
+TEST_CASE_METHOD(CleanHistory, "orders of two holders under one fence are found, however far apart") {
   history.orders = {{"e-1", "g-1", 7, kStart}, {"e-2", "g-2", 7, kStart + absl::Seconds(9)}};
   CHECK(breaks("no two holders give orders under one fence, and fences rise"));
   history.orders[1].fence = 8;
   CHECK(broken().empty());
 }
 
-TEST_CASE_METHOD(Sound,
+TEST_CASE_METHOD(CleanHistory,
                  "a later holder's lower fence is found, also after others and out of the notes' order") {
   history.orders = {{"e-1", "g-3", 6, kStart + absl::Seconds(9)},
                     {"e-1", "g-1", 7, kStart},
@@ -286,12 +290,13 @@
   CHECK(broken().empty());
 }
 
-TEST_CASE_METHOD(Sound, "a holder gives many orders under one fence, to several engines at once") {
+TEST_CASE_METHOD(CleanHistory, "a holder gives many orders under one fence, to several engines at once") {
   history.orders = {{"e-1", "g-1", 7, kStart}, {"e-2", "g-1", 7, kStart}, {"e-1", "g-1", 7, kStart}};
   CHECK(broken().empty());
 }
 
-TEST_CASE_METHOD(Sound, "orders of two holders within a lease are found, also with a third one's between") {
+TEST_CASE_METHOD(CleanHistory,
+                 "orders of two holders within a lease are found, also with a third one's between") {
   history.orders = {{"e-1", "g-1", 7, kStart},
                     {"e-2", "g-2", 8, kStart + Bounds().order_lease - absl::Milliseconds(1)}};
   CHECK(breaks("orders of two holders lie a lease apart"));
@@ -301,7 +306,7 @@
   CHECK(breaks("orders of two holders lie a lease apart"));
 }
 
-TEST_CASE_METHOD(Sound, "a site that doesn't serve again is found") {
+TEST_CASE_METHOD(CleanHistory, "a site that doesn't serve again is found") {
   history.recovery = absl::Seconds(13);
   CHECK(breaks("it serves again soon after the last fault"));
 }
--- a/tests/soak/order_promises.cc
+++ b/tests/soak/order_promises.cc
@@ -37,9 +37,9 @@
         result.violations.push_back({fences + describe(order, earlier), {}});
       }
     }
-    const auto [place, is_first] = highest.try_emplace(order.holder, order);
-    if (!is_first && order.fence >= place->second.fence) {
-      place->second = order;
+    const auto [position, is_first] = highest.try_emplace(order.holder, order);
+    if (!is_first && order.fence >= position->second.fence) {
+      position->second = order;
     }
   }
   return result;
--- a/tests/soak/processes.cc
+++ b/tests/soak/processes.cc
@@ -19,16 +19,16 @@
 namespace {
 
 constexpr uint64_t kPageBytes = 4096;
-constexpr int kNoProgram = 127;
+constexpr int kExecFailed = 127;
 
 }  // namespace
 
-Processes::Processes(std::string program, std::string folder, std::vector<GatewayPlace> places,
+Processes::Processes(std::string program, std::string folder, std::vector<GatewayEndpoints> all_endpoints,
                      History& history, const Bounds& bounds)
     : program_(std::move(program)),
       folder_(std::move(folder)),
-      places_(std::move(places)),
-      children_(places_.size()),
+      endpoints_(std::move(all_endpoints)),
+      children_(endpoints_.size()),
       history_(history),
       bounds_(bounds) {}
 
@@ -42,16 +42,17 @@
 }
 
 std::string Processes::settingsFile(size_t gateway) const {
-  return absl::StrCat(folder_, "/", places_[gateway].id, ".yaml");
+  return absl::StrCat(folder_, "/", endpoints_[gateway].id, ".yaml");
 }
 
 void Processes::writeSettings(size_t gateway, bool is_new) const {
-  const GatewayPlace& place = places_[gateway];
+  const GatewayEndpoints& endpoints = endpoints_[gateway];
   std::ofstream file(settingsFile(gateway));
-  file << "gateway_id: \"" << place.id << "\"\nzone: \"" << place.zone << "\"\nregion: \"r\"\n"
-       << "listen: {callers: \"" << printAddress(place.callers) << "\", readiness: \""
-       << printAddress(place.readiness) << "\", peers: \"" << printAddress(place.peers) << "\", metrics: \""
-       << printAddress(place.metrics) << "\"}\nstore: \"" << printAddress(place.store) << "\"\n"
+  file << "gateway_id: \"" << endpoints.id << "\"\nzone: \"" << endpoints.zone << "\"\nregion: \"r\"\n"
+       << "listen: {callers: \"" << printAddress(endpoints.callers) << "\", readiness: \""
+       << printAddress(endpoints.readiness) << "\", peers: \"" << printAddress(endpoints.peers)
+       << "\", metrics: \"" << printAddress(endpoints.metrics) << "\"}\nstore: \""
+       << printAddress(endpoints.store) << "\"\n"
        << "site_is_new: " << (is_new ? "true" : "false") << "\n"
        << "bounds: {key_revocation: " << absl::FormatDuration(bounds_.key_revocation)
        << ", configuration_in_force: " << absl::FormatDuration(bounds_.configuration_in_force)
@@ -64,16 +65,16 @@
 void Processes::start(size_t gateway, bool is_new) {
   writeSettings(gateway, is_new);
   const std::string settings = settingsFile(gateway);
-  const std::string log = absl::StrCat(folder_, "/", places_[gateway].id, ".log");
+  const std::string log = absl::StrCat(folder_, "/", endpoints_[gateway].id, ".log");
   const pid_t pid = fork();
   if (pid == 0) {
     const int descriptor = open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
     dup2(descriptor, STDOUT_FILENO);
     dup2(descriptor, STDERR_FILENO);
     execl(program_.c_str(), program_.c_str(), "serve", "--settings", settings.c_str(), nullptr);
-    _exit(kNoProgram);
+    _exit(kExecFailed);
   }
-  children_[gateway] = {pid, false, children_[gateway].life + 1, reactor::steadyNow()};
+  children_[gateway] = {pid, false, children_[gateway].incarnation + 1, reactor::steadyNow()};
 }
 
 absl::Duration Processes::age(size_t gateway) const {
@@ -85,7 +86,7 @@
   if (child.pid == 0) {
     return;
   }
-  child.is_ended_by_us = child.is_ended_by_us || number == SIGTERM || number == SIGKILL;
+  child.is_exit_expected = child.is_exit_expected || number == SIGTERM || number == SIGKILL;
   kill(child.pid, number);
 }
 
@@ -95,8 +96,8 @@
     Child& child = children_[gateway];
     int status = 0;
     if (child.pid != 0 && waitpid(child.pid, &status, WNOHANG) == child.pid) {
-      if (!child.is_ended_by_us) {
-        history_.own_ends.push_back({places_[gateway].id, status});
+      if (!child.is_exit_expected) {
+        history_.unexpected_exits.push_back({endpoints_[gateway].id, status});
       }
       child.pid = 0;
     }
@@ -107,7 +108,7 @@
   return ended;
 }
 
-void Processes::noteSizes() {
+void Processes::recordSizes() {
   for (size_t gateway = 0; gateway < children_.size(); ++gateway) {
     if (children_[gateway].pid == 0) {
       continue;
@@ -123,7 +124,7 @@
          !error && entry != std::filesystem::directory_iterator(); entry.increment(error)) {
       ++descriptors;
     }
-    history_.sizes.push_back({places_[gateway].id, resident_pages * kPageBytes, descriptors});
+    history_.sizes.push_back({endpoints_[gateway].id, resident_pages * kPageBytes, descriptors});
   }
 }
 
--- a/tests/soak/processes.h
+++ b/tests/soak/processes.h
@@ -14,7 +14,7 @@
 
 namespace quincewick::soak {
 
-struct GatewayPlace {
+struct GatewayEndpoints {
   std::string id;
   std::string zone;
   Address callers;
@@ -27,18 +27,18 @@
 class Processes {
  public:
   // `program`: the built quincewick; `folder`: for settings and logs.
-  Processes(std::string program, std::string folder, std::vector<GatewayPlace> places, History& history,
-            const Bounds& bounds);
+  Processes(std::string program, std::string folder, std::vector<GatewayEndpoints> all_endpoints,
+            History& history, const Bounds& bounds);
   ~Processes();
   Processes(const Processes&) = delete;
   Processes& operator=(const Processes&) = delete;
 
-  size_t count() const { return places_.size(); }
-  const GatewayPlace& place(size_t gateway) const { return places_[gateway]; }
+  size_t count() const { return endpoints_.size(); }
+  const GatewayEndpoints& endpoints(size_t gateway) const { return endpoints_[gateway]; }
   // Starts the gateway's process; `is_new`: the whole site starts for the first time.
   void start(size_t gateway, bool is_new);
   // Rises with each start.
-  uint64_t life(size_t gateway) const { return children_[gateway].life; }
+  uint64_t incarnation(size_t gateway) const { return children_[gateway].incarnation; }
   // Since its last start.
   absl::Duration age(size_t gateway) const;
   // Does nothing where no process runs.
@@ -46,13 +46,13 @@
   // Takes note of processes that ended; those nobody ended are in the history. Returns the gateways that run
   // no more.
   std::vector<size_t> reap();
-  void noteSizes();
+  void recordSizes();
 
  private:
   struct Child {
     pid_t pid = 0;  // 0: none runs
-    bool is_ended_by_us = false;
-    uint64_t life = 0;
+    bool is_exit_expected = false;
+    uint64_t incarnation = 0;
     absl::Time started = absl::InfinitePast();
   };
 
@@ -61,7 +61,7 @@
 
   std::string program_;
   std::string folder_;
-  std::vector<GatewayPlace> places_;
+  std::vector<GatewayEndpoints> endpoints_;
   std::vector<Child> children_;
   History& history_;
   Bounds bounds_;
--- a/tests/soak/promise_support.h
+++ b/tests/soak/promise_support.h
@@ -10,13 +10,13 @@
 
 namespace quincewick::soak {
 
-void addViolation(PromiseResult& result, std::string what, const std::string& attempt);
+void addViolation(PromiseResult& result, std::string description, const std::string& attempt);
 
-// `planned_too`: stops in good order count.
+// `include_planned`: stops in good order count.
 bool isDisturbed(const History& history, const std::string& gateway, absl::Time begin, absl::Time end,
-                 bool planned_too);
+                 bool include_planned);
 
 // How many of the sorted times lie in the window.
-size_t within(const std::vector<absl::Time>& times, absl::Time begin, absl::Duration width);
+size_t countWithin(const std::vector<absl::Time>& times, absl::Time begin, absl::Duration width);
 
 }  // namespace quincewick::soak
--- a/tests/soak/reserved_ports.h
+++ b/tests/soak/reserved_ports.h
@@ -15,16 +15,16 @@
   explicit ReservedPorts(boost::asio::io_context& reactor) : reactor_(reactor) {}
   Address next() {
     using boost::asio::ip::tcp;
-    tcp::acceptor& held = held_.emplace_back(reactor_);
-    held.open(tcp::v4());
-    held.set_option(tcp::acceptor::reuse_address(true));
-    held.bind(tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
-    return {"127.0.0.1", held.local_endpoint().port()};
+    tcp::acceptor& acceptor = acceptors_.emplace_back(reactor_);
+    acceptor.open(tcp::v4());
+    acceptor.set_option(tcp::acceptor::reuse_address(true));
+    acceptor.bind(tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
+    return {"127.0.0.1", acceptor.local_endpoint().port()};
   }
 
  private:
   boost::asio::io_context& reactor_;
-  std::list<boost::asio::ip::tcp::acceptor> held_;
+  std::list<boost::asio::ip::tcp::acceptor> acceptors_;
 };
 
 }  // namespace quincewick::soak
--- a/tests/soak/run.cc
+++ b/tests/soak/run.cc
@@ -28,26 +28,27 @@
 constexpr size_t kCallServers = 4;
 constexpr size_t kStreamServers = 4;
 constexpr absl::Duration kTick = absl::Milliseconds(50);
-constexpr absl::Duration kSettledAfter = absl::Seconds(1);
-constexpr absl::Duration kRestartPause = absl::Milliseconds(400);
-constexpr absl::Duration kAddressRest = absl::Seconds(2);  // before another server gets it
-constexpr absl::Duration kEntryLapses = absl::Seconds(3);  // of a server that crashed
-constexpr absl::Duration kEarlierStart = absl::Seconds(60);
-constexpr absl::Duration kServesOn = absl::Seconds(4);      // a leaving server, longer than it promises
-constexpr absl::Duration kReadyAtMost = absl::Seconds(30);  // until the site's first start is done
+constexpr absl::Duration kMinAgeForReload = absl::Seconds(1);
+constexpr absl::Duration kRestartDelay = absl::Milliseconds(400);
+constexpr absl::Duration kAddressReuseDelay = absl::Seconds(2);      // before another server gets it
+constexpr absl::Duration kRowLifetimeAfterCrash = absl::Seconds(3);  // of a server that crashed
+constexpr absl::Duration kOutdatedStartOffset = absl::Seconds(60);
+constexpr absl::Duration kServingAfterLeaving =
+    absl::Seconds(4);                                          // a leaving server, longer than it promises
+constexpr absl::Duration kMaxStartupTime = absl::Seconds(30);  // until the site's first start is done
 // The site serves all again once so many requests in a row got what they asked for.
-constexpr size_t kServedInARow = 60;
-constexpr const char* kPlainKey = "key-0";
-constexpr uint32_t kRestoreSpan = 10;  // seconds; 0 of them: all
+constexpr size_t kRequiredConsecutiveServed = 60;
+constexpr const char* kPermanentKey = "key-0";
+constexpr uint32_t kRestoreModulusSeconds = 10;  // seconds; 0 of them: all
 
 class Run {
  public:
   Run(const RunSettings& settings, const Schedule& schedule)
       : settings_(settings), schedule_(schedule), timers_(reactor_) {}
 
-  History carryOut() {
+  History execute() {
     makeSite();
-    whenReady(reactor::steadyNow() + kReadyAtMost);
+    startWhenReady(reactor::steadyNow() + kMaxStartupTime);
     reactor_.run();
     attributeArrivals(history_);
     return std::move(history_);
@@ -55,25 +56,25 @@
 
  private:
   void makeSite() {
-    history_.events_of_a_stream = kEventsOfAStream;
+    history_.events_per_stream = kEventsPerStream;
     store_ = std::make_unique<Store>(
         reactor_, timers_, settings_.gateways,
         [this](const std::string& table, const std::string& key, const std::string& value, size_t gateway) {
-          return rendered(table, key, value, gateway);
+          return renderValue(table, key, value, gateway);
         },
-        settings_.store_tells_era);
-    std::vector<GatewayPlace> places;
+        settings_.store_sends_era);
+    std::vector<GatewayEndpoints> all_endpoints;
     for (size_t index = 0; index < settings_.gateways; ++index) {
-      GatewayPlace place;
-      place.zone = absl::StrCat("z", index % kZones);
-      place.id = absl::StrCat("g-", place.zone, "-", index / kZones);
-      place.callers = ports_.next();
-      place.readiness = ports_.next();
-      place.peers = ports_.next();
-      place.metrics = ports_.next();
-      place.store = store_->addressFor(index);
-      places.push_back(place);
-      gateway_ids_.push_back(place.id);
+      GatewayEndpoints endpoints;
+      endpoints.zone = absl::StrCat("z", index % kZones);
+      endpoints.id = absl::StrCat("g-", endpoints.zone, "-", index / kZones);
+      endpoints.callers = ports_.next();
+      endpoints.readiness = ports_.next();
+      endpoints.peers = ports_.next();
+      endpoints.metrics = ports_.next();
+      endpoints.store = store_->addressFor(index);
+      all_endpoints.push_back(endpoints);
+      gateway_ids_.push_back(endpoints.id);
     }
     for (size_t index = 0; index < kCallServers; ++index) {
       addBackEnd("calls", {});
@@ -82,21 +83,21 @@
       addBackEnd("streams", {});
     }
     engines_ = std::make_unique<Engines>(reactor_, timers_, history_, *store_, kZones);
-    traffic_.keys = {kPlainKey, "key-1", "key-2", "key-3"};
+    traffic_.keys = {kPermanentKey, "key-1", "key-2", "key-3"};
     putConfiguration();
-    processes_ = std::make_unique<Processes>(settings_.program, settings_.folder, std::move(places), history_,
-                                             settings_.bounds);
+    processes_ = std::make_unique<Processes>(settings_.program, settings_.folder, std::move(all_endpoints),
+                                             history_, settings_.bounds);
     for (size_t gateway = 0; gateway < settings_.gateways; ++gateway) {
       processes_->start(gateway, true);
       restart_at_.push_back(absl::InfiniteFuture());
     }
-    entry_ = std::make_unique<Entry>(reactor_, timers_, *processes_);
+    load_balancer_ = std::make_unique<LoadBalancer>(reactor_, timers_, *processes_);
     tick();
   }
 
   // Each gateway reaches a server at a port of its own.
-  std::string rendered(const std::string& table, const std::string& key, const std::string& value,
-                       size_t gateway) const {
+  std::string renderValue(const std::string& table, const std::string& key, const std::string& value,
+                          size_t gateway) const {
     const auto found = std::find_if(back_ends_.rbegin(), back_ends_.rend(),
                                     [&key](const auto& back_end) { return back_end->id() == key; });
     if (table != "servers" || found == back_ends_.rend()) {
@@ -132,27 +133,27 @@
     store_->put("op", "config", printConfiguration(++configuration_version_, traffic_.has_new_route, keys));
   }
 
-  void whenReady(absl::Time latest) {
+  void startWhenReady(absl::Time latest) {
     bool are_ready = true;
     for (size_t gateway = 0; gateway < settings_.gateways; ++gateway) {
-      are_ready = are_ready && entry_->isReady(gateway);
+      are_ready = are_ready && load_balancer_->isReady(gateway);
     }
     const absl::Time now = reactor::steadyNow();
     if (!are_ready && now < latest) {
-      timers_.schedule(now + kTick, [this, latest] { whenReady(latest); });
+      timers_.schedule(now + kTick, [this, latest] { startWhenReady(latest); });
       return;
     }
     for (uint64_t number = 0; number < settings_.callers; ++number) {
-      callers_.push_back(std::make_unique<Caller>(reactor_, timers_, history_, *entry_, *processes_, traffic_,
-                                                  number, settings_.seed * 1000 + number));
+      callers_.push_back(std::make_unique<Caller>(reactor_, timers_, history_, *load_balancer_, *processes_,
+                                                  traffic_, number, settings_.seed * 1000 + number));
     }
-    began_ = now;
+    faults_began_ = now;
     for (const Fault& fault : schedule_) {
-      timers_.schedule(began_ + fault.at, [this, fault] { begin(fault); });
+      timers_.schedule(faults_began_ + fault.at, [this, fault] { inject(fault); });
     }
-    timers_.schedule(began_ + settings_.length, [this] {
-      faults_over_ = reactor::steadyNow();
-      served_from_ = history_.requests.size();
+    timers_.schedule(faults_began_ + settings_.length, [this] {
+      faults_ended_ = reactor::steadyNow();
+      recovery_first_request_ = history_.requests.size();
       awaitRecovery();
     });
   }
@@ -162,39 +163,40 @@
     const absl::Time now = reactor::steadyNow();
     for (const size_t gateway : processes_->reap()) {
       if (restart_at_[gateway] == absl::InfiniteFuture()) {
-        restart_at_[gateway] = now + kRestartPause;
+        restart_at_[gateway] = now + kRestartDelay;
       } else if (now >= restart_at_[gateway]) {
         restart_at_[gateway] = absl::InfiniteFuture();
-        disturb(gateway_ids_[gateway], absl::ZeroDuration(), is_planned_[gateway_ids_[gateway]]);
+        recordDisturbance(gateway_ids_[gateway], absl::ZeroDuration(), is_planned_[gateway_ids_[gateway]]);
         processes_->start(gateway, false);
       }
     }
     if (++ticks_ % 20 == 0) {
-      processes_->noteSizes();
+      processes_->recordSizes();
     }
     timers_.schedule(now + kTick, [this] { tick(); });
   }
 
   void awaitRecovery() {
     const absl::Time now = reactor::steadyNow();
-    const bool is_recovered = servedInARow(history_, served_from_, kPlainKey) >= kServedInARow;
-    if (is_recovered || now > faults_over_ + settings_.recovery_awaited) {
+    const bool is_recovered =
+        consecutiveServed(history_, recovery_first_request_, kPermanentKey) >= kRequiredConsecutiveServed;
+    if (is_recovered || now > faults_ended_ + settings_.recovery_timeout) {
       if (is_recovered) {
-        history_.recovery = now - faults_over_;
+        history_.recovery = now - faults_ended_;
       }
-      traffic_.is_over = true;
+      traffic_.is_finished = true;
       timers_.schedule(now + absl::Seconds(2), [this] { reactor_.stop(); });
       return;
     }
     timers_.schedule(now + kTick, [this] { awaitRecovery(); });
   }
 
-  void disturb(const std::string& gateway, absl::Duration lasts, bool is_planned = false) {
+  void recordDisturbance(const std::string& gateway, absl::Duration duration, bool is_planned = false) {
     const absl::Time now = reactor::steadyNow();
-    history_.disturbances.push_back({gateway, now, now + lasts, is_planned});
+    history_.disturbances.push_back({gateway, now, now + duration, is_planned});
   }
 
-  void later(absl::Duration after, const std::function<void()>& action) {
+  void runAfter(absl::Duration after, const std::function<void()>& action) {
     timers_.schedule(reactor::steadyNow() + after, action);
   }
 
@@ -202,7 +204,7 @@
     return serving_.empty() ? nullptr : serving_[target % serving_.size()];
   }
 
-  void begin(const Fault& fault) {
+  void inject(const Fault& fault) {
     const size_t gateway = fault.target % settings_.gateways;
     switch (fault.kind) {
       case FaultKind::kStop:
@@ -210,26 +212,26 @@
       case FaultKind::kFreeze:
       case FaultKind::kReload:
       case FaultKind::kKillMany:
-        strikeProcesses(fault, gateway);
+        injectProcessFault(fault, gateway);
         return;
       case FaultKind::kStoreRefuses:
       case FaultKind::kStoreSilent:
       case FaultKind::kStoreDown:
       case FaultKind::kStoreSlow:
-      case FaultKind::kStoreLosesAnswers:
-      case FaultKind::kStoreForgets:
-        strikeStore(fault, gateway);
+      case FaultKind::kStoreDropsResponses:
+      case FaultKind::kStoreDropsHistory:
+        injectStoreFault(fault, gateway);
         return;
-      case FaultKind::kStoreGoesBack:
+      case FaultKind::kStoreRestored:
         restoreStore(fault);
         return;
-      case FaultKind::kWeightsNamed:
-        engines_->nameWeights();
+      case FaultKind::kVersionPublished:
+        engines_->publishNextVersion();
         return;
       case FaultKind::kHolderKilled:
       case FaultKind::kHolderFrozen:
       case FaultKind::kHolderRefused:
-        strikeHolder(fault);
+        injectHolderFault(fault);
         return;
       case FaultKind::kRouteChanges:
         traffic_.has_new_route = !traffic_.has_new_route;
@@ -240,92 +242,93 @@
         removeKey(fault.target);
         return;
       default:
-        strikeBackEnds(fault, gateway);
+        injectBackEndFault(fault, gateway);
     }
   }
 
-  void strikeProcesses(const Fault& fault, size_t gateway) {
+  void injectProcessFault(const Fault& fault, size_t gateway) {
     const std::string& id = gateway_ids_[gateway];
     switch (fault.kind) {
       case FaultKind::kStop:
         is_planned_[id] = true;
-        disturb(id, settings_.bounds.stop_grace, true);
+        recordDisturbance(id, settings_.bounds.stop_grace, true);
         processes_->signal(gateway, SIGTERM);
         // Only the process that was told to stop: another one may run by then.
-        later(settings_.bounds.stop_grace, [this, gateway, life = processes_->life(gateway)] {
-          if (processes_->life(gateway) == life) {
-            processes_->signal(gateway, SIGKILL);
-          }
-        });
+        runAfter(settings_.bounds.stop_grace,
+                 [this, gateway, incarnation = processes_->incarnation(gateway)] {
+                   if (processes_->incarnation(gateway) == incarnation) {
+                     processes_->signal(gateway, SIGKILL);
+                   }
+                 });
         return;
       case FaultKind::kKill:
         is_planned_[id] = false;
-        disturb(id, absl::ZeroDuration());
+        recordDisturbance(id, absl::ZeroDuration());
         processes_->signal(gateway, SIGKILL);
         return;
       case FaultKind::kFreeze:
-        disturb(id, fault.lasts);
+        recordDisturbance(id, fault.duration);
         processes_->signal(gateway, SIGSTOP);
-        later(fault.lasts, [this, gateway] { processes_->signal(gateway, SIGCONT); });
+        runAfter(fault.duration, [this, gateway] { processes_->signal(gateway, SIGCONT); });
         return;
       case FaultKind::kReload:
-        if (settings_.reloads_early || processes_->age(gateway) > kSettledAfter) {
+        if (settings_.reloads_during_startup || processes_->age(gateway) > kMinAgeForReload) {
           processes_->signal(gateway, SIGHUP);
         }
         return;
       default:
         for (size_t other = fault.target % 2; other < settings_.gateways; other += 2) {
           is_planned_[gateway_ids_[other]] = false;
-          disturb(gateway_ids_[other], absl::ZeroDuration());
+          recordDisturbance(gateway_ids_[other], absl::ZeroDuration());
           processes_->signal(other, SIGKILL);
         }
     }
   }
 
   // Whoever gave the last order; nobody, where none was given yet.
-  void strikeHolder(const Fault& fault) {
+  void injectHolderFault(const Fault& fault) {
     const auto found = history_.orders.empty() ? gateway_ids_.end()
                                                : std::find(gateway_ids_.begin(), gateway_ids_.end(),
                                                            history_.orders.back().holder);
     if (found == gateway_ids_.end()) {
       return;
     }
-    Fault struck = fault;
-    struck.kind = fault.kind == FaultKind::kHolderKilled   ? FaultKind::kKill
-                  : fault.kind == FaultKind::kHolderFrozen ? FaultKind::kFreeze
-                                                           : FaultKind::kStoreRefuses;
-    struck.target = static_cast<uint32_t>(found - gateway_ids_.begin());
-    begin(struck);
+    Fault gateway_fault = fault;
+    gateway_fault.kind = fault.kind == FaultKind::kHolderKilled   ? FaultKind::kKill
+                         : fault.kind == FaultKind::kHolderFrozen ? FaultKind::kFreeze
+                                                                  : FaultKind::kStoreRefuses;
+    gateway_fault.target = static_cast<uint32_t>(found - gateway_ids_.begin());
+    inject(gateway_fault);
   }
 
   void restoreStore(const Fault& fault) {
-    const uint32_t seconds = fault.target % kRestoreSpan;
+    const uint32_t seconds = fault.target % kRestoreModulusSeconds;
     const absl::Duration ago = seconds == 0 ? absl::InfiniteDuration() : absl::Seconds(seconds);
     Fault outage = fault;
     outage.kind = FaultKind::kStoreDown;
-    later(fault.lasts, [this, ago] { store_->goBack(ago); });  // before it answers again
-    strikeStore(outage, 0);
+    runAfter(fault.duration, [this, ago] { store_->restoreCopy(ago); });  // before it answers again
+    injectStoreFault(outage, 0);
   }
 
-  void strikeStore(const Fault& fault, size_t gateway) {
-    if (fault.kind == FaultKind::kStoreForgets) {
-      store_->forgetHistory();
+  void injectStoreFault(const Fault& fault, size_t gateway) {
+    if (fault.kind == FaultKind::kStoreDropsHistory) {
+      store_->dropChangeHistory();
       return;
     }
     const auto set = [this, kind = fault.kind, gateway](bool on) {
       for (size_t other = 0; other < settings_.gateways; ++other) {
-        setTrouble(store_->trouble(other), kind, other == gateway, on);
+        setStoreFault(store_->faults(other), kind, other == gateway, on);
       }
     };
     const bool is_one = fault.kind == FaultKind::kStoreRefuses || fault.kind == FaultKind::kStoreSilent;
-    disturb(is_one ? gateway_ids_[gateway] : "", fault.lasts);
+    recordDisturbance(is_one ? gateway_ids_[gateway] : "", fault.duration);
     set(true);
-    later(fault.lasts, [set] { set(false); });
+    runAfter(fault.duration, [set] { set(false); });
   }
 
-  void strikeBackEnds(const Fault& fault, size_t gateway) {
+  void injectBackEndFault(const Fault& fault, size_t gateway) {
     if (fault.kind == FaultKind::kConnectionsReset || fault.kind == FaultKind::kConnectionsSilent) {
-      disturb(gateway_ids_[gateway], absl::ZeroDuration());
+      recordDisturbance(gateway_ids_[gateway], absl::ZeroDuration());
       for (const auto& back_end : back_ends_) {
         if (fault.kind == FaultKind::kConnectionsReset) {
           back_end->resetConnections(gateway);
@@ -350,64 +353,64 @@
         crash(*back_end);
         return;
       case FaultKind::kBackEndRestarts:
-        restart(*back_end, fault.lasts);
+        restart(*back_end, fault.duration);
         return;
       case FaultKind::kRowUnreadable:
-        spoil(*back_end, fault);
+        corruptRow(*back_end, fault);
         return;
       case FaultKind::kRowOutdated:
-        putServer(*back_end, "draining", kEarlierStart);
-        putAgain(*back_end, fault.lasts);
+        putServer(*back_end, "draining", kOutdatedStartOffset);
+        restoreRowAfter(*back_end, fault.duration);
         return;
-      case FaultKind::kBackEndNamesRate:
-      case FaultKind::kBackEndRests:
-      case FaultKind::kBackEndSpeaksIll:
-        speak(*back_end, fault);
+      case FaultKind::kBackEndAdvertisesRate:
+      case FaultKind::kBackEndBacksOff:
+      case FaultKind::kBackEndSendsMalformed:
+        startAnnouncement(*back_end, fault);
         return;
-      case FaultKind::kBackEndSaysLeaving:
-        leaveInAnswers(*back_end);
+      case FaultKind::kBackEndAnnouncesLeaving:
+        announceLeaving(*back_end);
         return;
       default:
-        misbehave(*back_end, fault);
+        startRequestFault(*back_end, fault);
     }
   }
 
-  void speak(BackEnd& back_end, const Fault& fault) {
-    const auto set = [&back_end, fault](bool on) { setSpeech(back_end.speech(), fault, on); };
+  void startAnnouncement(BackEnd& back_end, const Fault& fault) {
+    const auto set = [&back_end, fault](bool on) { setAnnouncement(back_end.announcements(), fault, on); };
     set(true);
-    later(fault.lasts, [set] { set(false); });
+    runAfter(fault.duration, [set] { set(false); });
   }
 
   // Its entry says that it is ready until it is gone, as while the store takes no writes.
-  void leaveInAnswers(BackEnd& back_end) {
+  void announceLeaving(BackEnd& back_end) {
     addBackEnd(back_end.service(), {});
     std::erase(serving_, &back_end);
-    back_end.speech().leaves = true;
-    later(kServesOn, [this, &back_end] {
+    back_end.announcements().is_leaving = true;
+    runAfter(kServingAfterLeaving, [this, &back_end] {
       store_->remove("servers", back_end.id());
       back_end.crash();
     });
   }
 
-  void misbehave(BackEnd& back_end, const Fault& fault) {
+  void startRequestFault(BackEnd& back_end, const Fault& fault) {
     const auto set = [&back_end, kind = fault.kind](bool on) {
-      setMisbehaviour(back_end.misbehaviour(), kind, on);
+      setRequestFault(back_end.request_faults(), kind, on);
     };
     set(true);
-    later(fault.lasts, [set] { set(false); });
+    runAfter(fault.duration, [set] { set(false); });
   }
 
   // Another one comes first. It serves on for longer than it promises.
-  void replace(BackEnd& back_end, bool says_so) {
+  void replace(BackEnd& back_end, bool announces) {
     addBackEnd(back_end.service(), {});
     std::erase(serving_, &back_end);
-    if (says_so) {
+    if (announces) {
       putServer(back_end, "draining");
     } else {
       store_->remove("servers", back_end.id());
     }
-    history_.leavings.push_back({back_end.id(), reactor::steadyNow()});
-    later(kServesOn, [this, &back_end] {
+    history_.departures.push_back({back_end.id(), reactor::steadyNow()});
+    runAfter(kServingAfterLeaving, [this, &back_end] {
       store_->remove("servers", back_end.id());
       back_end.crash();
     });
@@ -417,11 +420,11 @@
   void crash(BackEnd& back_end) {
     const std::vector<uint16_t> ports = back_end.ports();
     std::erase(serving_, &back_end);
-    disturb("", absl::ZeroDuration());
+    recordDisturbance("", absl::ZeroDuration());
     back_end.crash();
     addBackEnd(back_end.service(), {});
-    later(kEntryLapses, [this, &back_end] { store_->remove("servers", back_end.id()); });
-    later(kAddressRest, [this, &back_end, ports] {
+    runAfter(kRowLifetimeAfterCrash, [this, &back_end] { store_->remove("servers", back_end.id()); });
+    runAfter(kAddressReuseDelay, [this, &back_end, ports] {
       addBackEnd(back_end.service() == "calls" ? "streams" : "calls", ports);
     });
   }
@@ -429,23 +432,23 @@
   // It is back under its id and at its address, and knows nothing of before.
   void restart(BackEnd& back_end, absl::Duration after) {
     std::erase(serving_, &back_end);
-    disturb("", after);
+    recordDisturbance("", after);
     const std::vector<uint16_t> ports = back_end.ports();
     back_end.crash();
-    later(after, [this, &back_end, ports] { start(back_end.id(), back_end.service(), ports); });
+    runAfter(after, [this, &back_end, ports] { start(back_end.id(), back_end.service(), ports); });
   }
 
-  void spoil(const BackEnd& back_end, const Fault& fault) {
-    static constexpr std::array kSpoiled = {
+  void corruptRow(const BackEnd& back_end, const Fault& fault) {
+    static constexpr std::array kCorruptRows = {
         "\xff{", R"({"service":"calls"})",
         R"({"service":3,"address":"ADDRESS","slots":"many","state":"gone"})"};
-    store_->put("servers", back_end.id(), kSpoiled.at(fault.target % kSpoiled.size()));
-    putAgain(back_end, fault.lasts);
+    store_->put("servers", back_end.id(), kCorruptRows.at(fault.target % kCorruptRows.size()));
+    restoreRowAfter(back_end, fault.duration);
   }
 
   // Its own next heartbeat.
-  void putAgain(const BackEnd& back_end, absl::Duration after) {
-    later(after, [this, &back_end] {
+  void restoreRowAfter(const BackEnd& back_end, absl::Duration after) {
+    runAfter(after, [this, &back_end] {
       if (std::find(serving_.begin(), serving_.end(), &back_end) != serving_.end()) {
         putServer(back_end, "ready");
       }
@@ -476,7 +479,7 @@
   std::unique_ptr<Processes> processes_;
   std::vector<absl::Time> restart_at_;
   std::map<std::string, bool> is_planned_;  // the last end of each gateway
-  std::unique_ptr<Entry> entry_;
+  std::unique_ptr<LoadBalancer> load_balancer_;
   Traffic traffic_;
   std::vector<std::unique_ptr<Caller>> callers_;
   std::array<bool, 4> is_key_removed_ = {};
@@ -484,16 +487,16 @@
   uint64_t last_back_end_ = 0;
   uint64_t starts_ = 0;  // of back ends
   uint64_t ticks_ = 0;
-  absl::Time began_;
-  absl::Time faults_over_;
-  size_t served_from_ = 0;
+  absl::Time faults_began_;
+  absl::Time faults_ended_;
+  size_t recovery_first_request_ = 0;
 };
 
 }  // namespace
 
 History runSite(const RunSettings& settings, const Schedule& schedule) {
   Run run(settings, schedule);
-  return run.carryOut();
+  return run.execute();
 }
 
 }  // namespace quincewick::soak
--- a/tests/soak/run.h
+++ b/tests/soak/run.h
@@ -19,11 +19,11 @@
   uint32_t callers = 36;
   absl::Duration length = absl::Seconds(20);
   // How long the site may take, after the last fault, until it serves all again; then the run ends anyhow.
-  absl::Duration recovery_awaited = absl::Seconds(60);
+  absl::Duration recovery_timeout = absl::Seconds(60);
   // Signals to reload also come to processes that started less than a second ago. Until its first line runs,
   // no program can take a signal, and this one ends it: which of both comes first is chance.
-  bool reloads_early = false;
-  bool store_tells_era = true;
+  bool reloads_during_startup = false;
+  bool store_sends_era = true;
   Bounds bounds;
 };
 
--- a/tests/soak/schedule.cc
+++ b/tests/soak/schedule.cc
@@ -12,46 +12,46 @@
 namespace quincewick::soak {
 namespace {
 
-constexpr std::array kNames = {"stop",          "kill",          "freeze",          "reload",
-                               "kill-many",     "store-refuses", "store-silent",    "store-down",
-                               "store-slow",    "store-loses",   "store-forgets",   "back-end-leaves",
-                               "back-end-goes", "back-end-dies", "refuses",         "fails",
-                               "answers-lost",  "answers-cut",   "reset",           "silent",
-                               "route",         "key",           "restarts",        "row-spoiled",
-                               "row-old",       "names-rate",    "rests",           "says-leaving",
-                               "speaks-ill",    "weights-named", "store-goes-back", "holder-killed",
-                               "holder-frozen", "holder-refused"};
-constexpr size_t kKinds = kNames.size();
-static_assert(static_cast<size_t>(FaultKind::kHolderRefused) + 1 == kKinds);
+constexpr std::array kFaultNames = {"stop",          "kill",          "freeze",          "reload",
+                                    "kill-many",     "store-refuses", "store-silent",    "store-down",
+                                    "store-slow",    "store-loses",   "store-forgets",   "back-end-leaves",
+                                    "back-end-goes", "back-end-dies", "refuses",         "fails",
+                                    "answers-lost",  "answers-cut",   "reset",           "silent",
+                                    "route",         "key",           "restarts",        "row-spoiled",
+                                    "row-old",       "names-rate",    "rests",           "says-leaving",
+                                    "speaks-ill",    "weights-named", "store-goes-back", "holder-killed",
+                                    "holder-frozen", "holder-refused"};
+constexpr size_t kKindCount = kFaultNames.size();
+static_assert(static_cast<size_t>(FaultKind::kHolderRefused) + 1 == kKindCount);
 // Kinds that came later are drawn apart, so that what a seed drew before it draws still.
-constexpr size_t kFirstKinds = static_cast<size_t>(FaultKind::kKeyRemoved) + 1;
-constexpr size_t kSecondKinds = static_cast<size_t>(FaultKind::kRowOutdated) + 1;
-constexpr size_t kThirdKinds = static_cast<size_t>(FaultKind::kBackEndSpeaksIll) + 1;
+constexpr size_t kFirstKindsEnd = static_cast<size_t>(FaultKind::kKeyRemoved) + 1;
+constexpr size_t kSecondKindsEnd = static_cast<size_t>(FaultKind::kRowOutdated) + 1;
+constexpr size_t kThirdKindsEnd = static_cast<size_t>(FaultKind::kBackEndSendsMalformed) + 1;
 
 // A fault begins about so often; some come twice or three times in a row, half a second to two apart.
-constexpr absl::Duration kMeanPause = absl::Milliseconds(400);
-constexpr absl::Duration kMeanPauseOfLater = absl::Milliseconds(1500);
-constexpr absl::Duration kShortestFault = absl::Milliseconds(300);
-constexpr absl::Duration kLongestFault = absl::Seconds(6);
-constexpr int kLongestSeries = 3;
-constexpr uint32_t kTargets = 60;
-constexpr uint64_t kThirdDraw = 0x5bd1e995;  // tells its generator from the others of a seed
-constexpr uint64_t kFourthDraw = 0x27d4eb2f;
+constexpr absl::Duration kMeanInterval = absl::Milliseconds(400);
+constexpr absl::Duration kMeanIntervalOfLaterKinds = absl::Milliseconds(1500);
+constexpr absl::Duration kMinFaultDuration = absl::Milliseconds(300);
+constexpr absl::Duration kMaxFaultDuration = absl::Seconds(6);
+constexpr int kMaxSeries = 3;
+constexpr uint32_t kTargetRange = 60;
+constexpr uint64_t kThirdSeedMask = 0x5bd1e995;  // tells its generator from the others of a seed
+constexpr uint64_t kFourthSeedMask = 0x27d4eb2f;
 
 // Faults of the kinds from `first_kind` to before `end_kind`, each alone, by a generator of their own.
 void drawLaterKinds(std::mt19937_64 random, size_t first_kind, size_t end_kind, absl::Duration last,
                     absl::Duration longest, Schedule& schedule) {
-  const auto drawn = [&random](absl::Duration least, absl::Duration most) {
+  const auto drawDuration = [&random](absl::Duration least, absl::Duration most) {
     const auto span = static_cast<uint64_t>(absl::ToInt64Milliseconds(most - least)) + 1;
     return least + absl::Milliseconds(static_cast<int64_t>(random() % span));
   };
-  for (absl::Duration at = drawn(absl::Milliseconds(500), kMeanPauseOfLater * 2); at < last;
-       at += drawn(absl::ZeroDuration(), kMeanPauseOfLater * 2)) {
+  for (absl::Duration at = drawDuration(absl::Milliseconds(500), kMeanIntervalOfLaterKinds * 2); at < last;
+       at += drawDuration(absl::ZeroDuration(), kMeanIntervalOfLaterKinds * 2)) {
     Fault fault;
     fault.at = at;
     fault.kind = static_cast<FaultKind>(first_kind + random() % (end_kind - first_kind));
-    fault.target = static_cast<uint32_t>(random() % kTargets);
-    fault.lasts = drawn(kShortestFault, longest);
+    fault.target = static_cast<uint32_t>(random() % kTargetRange);
+    fault.duration = drawDuration(kMinFaultDuration, longest);
     schedule.push_back(fault);
   }
 }
@@ -60,34 +60,36 @@
 
 // The generator is the standard's own and its numbers are taken as they are, so that a seed means the same
 // everywhere.
-Schedule drawSchedule(uint64_t seed, absl::Duration length, bool store_goes_back) {
+Schedule drawSchedule(uint64_t seed, absl::Duration length, bool draws_restores) {
   std::mt19937_64 random(seed);
-  const auto drawn = [&random](absl::Duration least, absl::Duration most) {
+  const auto drawDuration = [&random](absl::Duration least, absl::Duration most) {
     const auto span = static_cast<uint64_t>(absl::ToInt64Milliseconds(most - least)) + 1;
     return least + absl::Milliseconds(static_cast<int64_t>(random() % span));
   };
   Schedule schedule;
-  const absl::Duration last = std::max(length - kLongestFault, length / 2);
-  for (absl::Duration at = drawn(absl::Milliseconds(500), kMeanPause * 2); at < last;
-       at += drawn(absl::ZeroDuration(), kMeanPause * 2)) {
+  const absl::Duration last = std::max(length - kMaxFaultDuration, length / 2);
+  for (absl::Duration at = drawDuration(absl::Milliseconds(500), kMeanInterval * 2); at < last;
+       at += drawDuration(absl::ZeroDuration(), kMeanInterval * 2)) {
     Fault fault;
-    fault.kind = static_cast<FaultKind>(random() % kFirstKinds);
-    fault.target = static_cast<uint32_t>(random() % kTargets);
-    fault.lasts = drawn(kShortestFault, std::min(kLongestFault, length - last));
-    const int times = random() % 3 == 0 ? static_cast<int>(random() % kLongestSeries) + 1 : 1;
+    fault.kind = static_cast<FaultKind>(random() % kFirstKindsEnd);
+    fault.target = static_cast<uint32_t>(random() % kTargetRange);
+    fault.duration = drawDuration(kMinFaultDuration, std::min(kMaxFaultDuration, length - last));
+    const int times = random() % 3 == 0 ? static_cast<int>(random() % kMaxSeries) + 1 : 1;
     absl::Duration begin = at;
     for (int count = 0; count < times && begin < last; ++count) {
       fault.at = begin;
       schedule.push_back(fault);
-      begin += drawn(absl::Milliseconds(500), absl::Seconds(2));
-      fault.target = random() % 2 == 0 ? fault.target : static_cast<uint32_t>(random() % kTargets);
+      begin += drawDuration(absl::Milliseconds(500), absl::Seconds(2));
+      fault.target = random() % 2 == 0 ? fault.target : static_cast<uint32_t>(random() % kTargetRange);
     }
   }
-  const absl::Duration longest = std::min(kLongestFault, length - last);
-  drawLaterKinds(std::mt19937_64(~seed), kFirstKinds, kSecondKinds, last, longest, schedule);
-  drawLaterKinds(std::mt19937_64(seed ^ kThirdDraw), kSecondKinds, kThirdKinds, last, longest, schedule);
-  if (store_goes_back) {
-    drawLaterKinds(std::mt19937_64(seed ^ kFourthDraw), kThirdKinds, kKinds, last, longest, schedule);
+  const absl::Duration longest = std::min(kMaxFaultDuration, length - last);
+  drawLaterKinds(std::mt19937_64(~seed), kFirstKindsEnd, kSecondKindsEnd, last, longest, schedule);
+  drawLaterKinds(std::mt19937_64(seed ^ kThirdSeedMask), kSecondKindsEnd, kThirdKindsEnd, last, longest,
+                 schedule);
+  if (draws_restores) {
+    drawLaterKinds(std::mt19937_64(seed ^ kFourthSeedMask), kThirdKindsEnd, kKindCount, last, longest,
+                   schedule);
   }
   std::stable_sort(schedule.begin(), schedule.end(),
                    [](const Fault& one, const Fault& other) { return one.at < other.at; });
@@ -98,8 +100,8 @@
   std::string text;
   for (const Fault& fault : schedule) {
     absl::StrAppend(&text, absl::ToInt64Milliseconds(fault.at), " ",
-                    kNames.at(static_cast<size_t>(fault.kind)), " ", fault.target, " ",
-                    absl::ToInt64Milliseconds(fault.lasts), "\n");
+                    kFaultNames.at(static_cast<size_t>(fault.kind)), " ", fault.target, " ",
+                    absl::ToInt64Milliseconds(fault.duration), "\n");
   }
   return text;
 }
@@ -111,18 +113,19 @@
       continue;
     }
     const std::vector<std::string> words = absl::StrSplit(line, ' ', absl::SkipWhitespace());
-    const auto name = words.size() == 4 ? std::find(kNames.begin(), kNames.end(), words[1]) : kNames.end();
+    const auto name =
+        words.size() == 4 ? std::find(kFaultNames.begin(), kFaultNames.end(), words[1]) : kFaultNames.end();
     int64_t at = 0;
-    int64_t lasts = 0;
+    int64_t duration = 0;
     Fault fault;
-    const bool is_read = name != kNames.end() && absl::SimpleAtoi(words[0], &at) &&
-                         absl::SimpleAtoi(words[2], &fault.target) && absl::SimpleAtoi(words[3], &lasts);
+    const bool is_read = name != kFaultNames.end() && absl::SimpleAtoi(words[0], &at) &&
+                         absl::SimpleAtoi(words[2], &fault.target) && absl::SimpleAtoi(words[3], &duration);
     if (!is_read) {
       return fail(ErrorCode::kInvalidArgument, absl::StrCat("no fault: ", line));
     }
-    fault.kind = static_cast<FaultKind>(name - kNames.begin());
+    fault.kind = static_cast<FaultKind>(name - kFaultNames.begin());
     fault.at = absl::Milliseconds(at);
-    fault.lasts = absl::Milliseconds(lasts);
+    fault.duration = absl::Milliseconds(duration);
     schedule.push_back(fault);
   }
   return schedule;
--- a/tests/soak/schedule_test.cc
+++ b/tests/soak/schedule_test.cc
@@ -17,7 +17,7 @@
     RC_ASSERT(read.has_value());
     RC_ASSERT(read.value() == schedule);
     for (const Fault& fault : schedule) {
-      RC_ASSERT(fault.at + fault.lasts <= absl::Seconds(30));
+      RC_ASSERT(fault.at + fault.duration <= absl::Seconds(30));
     }
   }));
 }
@@ -29,7 +29,7 @@
       kinds.insert(fault.kind);
     }
   }
-  CHECK(kinds.size() == static_cast<size_t>(FaultKind::kBackEndSpeaksIll) + 1);
+  CHECK(kinds.size() == static_cast<size_t>(FaultKind::kBackEndSendsMalformed) + 1);
 }
 
 // Seeds and schedules of earlier days must play the faults that they played then.
@@ -39,7 +39,7 @@
   for (uint64_t seed = 1; seed < 40; ++seed) {
     Schedule usual;
     for (const Fault& fault : drawSchedule(seed, absl::Seconds(30), true)) {
-      if (fault.kind > FaultKind::kBackEndSpeaksIll) {
+      if (fault.kind > FaultKind::kBackEndSendsMalformed) {
         kinds.insert(fault.kind);
       } else {
         usual.push_back(fault);
@@ -47,7 +47,7 @@
     }
     CHECK(usual == drawSchedule(seed, absl::Seconds(30)));
   }
-  CHECK(kinds == std::set<FaultKind>{FaultKind::kWeightsNamed, FaultKind::kStoreGoesBack,
+  CHECK(kinds == std::set<FaultKind>{FaultKind::kVersionPublished, FaultKind::kStoreRestored,
                                      FaultKind::kHolderKilled, FaultKind::kHolderFrozen,
                                      FaultKind::kHolderRefused});
 }
--- a/tests/soak/soak_main.cc
+++ b/tests/soak/soak_main.cc
@@ -16,9 +16,9 @@
 namespace quincewick::soak {
 namespace {
 
-constexpr int kKept = 0;
-constexpr int kBroken = 1;
-constexpr int kUsage = 2;
+constexpr int kExitKept = 0;
+constexpr int kExitBroken = 1;
+constexpr int kExitUsage = 2;
 
 struct Options {
   RunSettings run;
@@ -43,37 +43,39 @@
   }
 };
 
-Outcome play(const Options& options, const Schedule& schedule) {
+Outcome runSchedule(const Options& options, const Schedule& schedule) {
   std::filesystem::create_directories(options.run.folder);
   Outcome outcome{schedule, runSite(options.run, schedule), {}};
   outcome.promises = checkPromises(outcome.history, options.run.bounds, options.timed);
   return outcome;
 }
 
-size_t countEnds(const History& history, RequestEnd end) {
-  return static_cast<size_t>(std::count_if(history.requests.begin(), history.requests.end(),
-                                           [end](const Request& request) { return request.end == end; }));
+size_t countOutcomes(const History& history, RequestOutcome outcome) {
+  return static_cast<size_t>(
+      std::count_if(history.requests.begin(), history.requests.end(),
+                    [outcome](const Request& request) { return request.outcome == outcome; }));
 }
 
 void printText(const Options& options, const Outcome& outcome) {
   const History& history = outcome.history;
-  const auto served = std::count_if(
-      history.requests.begin(), history.requests.end(),
-      [](const Request& request) { return request.end == RequestEnd::kAnswered && request.status == 200; });
+  const auto served =
+      std::count_if(history.requests.begin(), history.requests.end(), [](const Request& request) {
+        return request.outcome == RequestOutcome::kCompleted && request.status == 200;
+      });
   std::cout << "seed " << options.run.seed << ": " << outcome.schedule.size() << " faults, "
             << history.requests.size() << " requests, " << served << " served, "
-            << countEnds(history, RequestEnd::kAnswered) - static_cast<size_t>(served)
-            << " refused or failed, " << countEnds(history, RequestEnd::kCut) << " cut, "
-            << countEnds(history, RequestEnd::kUnsent) << " without a connection, "
-            << countEnds(history, RequestEnd::kLeft) << " left; " << history.arrivals.size() << " arrivals, "
-            << history.orders.size() << " orders; serves all again after "
+            << countOutcomes(history, RequestOutcome::kCompleted) - static_cast<size_t>(served)
+            << " refused or failed, " << countOutcomes(history, RequestOutcome::kConnectionLost) << " cut, "
+            << countOutcomes(history, RequestOutcome::kUnsent) << " without a connection, "
+            << countOutcomes(history, RequestOutcome::kAbandoned) << " left; " << history.arrivals.size()
+            << " arrivals, " << history.orders.size() << " orders; serves all again after "
             << absl::FormatDuration(history.recovery) << "\n";
   for (const PromiseResult& result : outcome.promises) {
     if (!result.violations.empty()) {
       std::cout << "BROKEN " << result.promise << ": " << result.violations.size() << " of " << result.checks
                 << "; logs in " << options.run.folder << "\n";
       for (size_t index = 0; index < std::min<size_t>(result.violations.size(), 3); ++index) {
-        std::cout << "  " << result.violations[index].what;
+        std::cout << "  " << result.violations[index].description;
         for (const std::string& attempt : result.violations[index].attempts) {
           std::cout << ", " << attempt;
         }
@@ -96,7 +98,7 @@
   for (const PromiseResult& result : outcome.promises) {
     nlohmann::json violations = nlohmann::json::array();
     for (const Violation& violation : result.violations) {
-      violations.push_back({{"what", violation.what}, {"attempts", violation.attempts}});
+      violations.push_back({{"what", violation.description}, {"attempts", violation.attempts}});
     }
     report["promises"].push_back(
         {{"promise", result.promise}, {"checks", result.checks}, {"violations", violations}});
@@ -110,10 +112,10 @@
   for (size_t index = 0; index < outcome.schedule.size();) {
     Schedule fewer = outcome.schedule;
     fewer.erase(fewer.begin() + static_cast<std::ptrdiff_t>(index));
-    Outcome tried = play(options, fewer);
-    const std::vector<std::string> broken = tried.broken();
+    Outcome candidate = runSchedule(options, fewer);
+    const std::vector<std::string> broken = candidate.broken();
     if (std::find(broken.begin(), broken.end(), promise) != broken.end()) {
-      outcome = std::move(tried);
+      outcome = std::move(candidate);
     } else {
       ++index;
     }
@@ -121,8 +123,8 @@
   return outcome;
 }
 
-int playAndReport(const Options& options, const Schedule& schedule) {
-  Outcome outcome = play(options, schedule);
+int runAndReport(const Options& options, const Schedule& schedule) {
+  Outcome outcome = runSchedule(options, schedule);
   if (options.shrinks && !outcome.broken().empty()) {
     outcome = shrink(options, std::move(outcome));
   }
@@ -132,7 +134,7 @@
     printText(options, outcome);
   }
   std::cout.flush();
-  return outcome.broken().empty() ? kKept : kBroken;
+  return outcome.broken().empty() ? kExitKept : kExitBroken;
 }
 
 std::string readFile(const std::string& path) {
@@ -171,18 +173,18 @@
                          parsed["gateways"].as<uint32_t>() > 0;
   if (parsed.count("help") > 0 || !is_usable) {
     std::cout << described.help() << "\n";
-    return parsed.count("help") > 0 ? kKept : kUsage;
+    return parsed.count("help") > 0 ? kExitKept : kExitUsage;
   }
   options.run.program = parsed["program"].as<std::string>();
   options.run.length = length;
   options.run.gateways = parsed["gateways"].as<uint32_t>();
   options.run.callers = parsed["callers"].as<uint32_t>();
   options.timed = parsed.count("timed") > 0;
-  options.run.reloads_early = options.timed;
-  options.run.store_tells_era = parsed.count("no-era") == 0;
+  options.run.reloads_during_startup = options.timed;
+  options.run.store_sends_era = parsed.count("no-era") == 0;
   options.json = parsed["output"].as<std::string>() == "json";
   options.shrinks = parsed.count("shrink") > 0;
-  int worst = kKept;
+  int exit_code = kExitKept;
   const uint64_t first = parsed["seed"].as<uint64_t>();
   const uint64_t last = first + parsed["seeds"].as<uint64_t>();
   for (options.run.seed = first; options.run.seed < last; ++options.run.seed) {
@@ -192,13 +194,13 @@
       auto read = parseSchedule(readFile(parsed["replay"].as<std::string>()));
       if (read.has_error()) {
         std::cerr << read.error().message << "\n";
-        return kUsage;
+        return kExitUsage;
       }
       schedule = std::move(read.value());
     }
-    worst = std::max(worst, playAndReport(options, schedule));
+    exit_code = std::max(exit_code, runAndReport(options, schedule));
   }
-  return worst;
+  return exit_code;
 }
 
 }  // namespace
--- a/tests/soak/store.cc
+++ b/tests/soak/store.cc
@@ -11,14 +11,14 @@
 namespace quincewick::soak {
 namespace {
 
-constexpr size_t kConnectionsAtMost = 256;
-constexpr absl::Duration kAnswerTime = absl::Milliseconds(4);
-constexpr absl::Duration kSlowAnswerTime = absl::Milliseconds(500);
-constexpr absl::Duration kBetweenCopies = absl::Milliseconds(250);
-constexpr absl::Duration kCopiesKept = absl::Seconds(10);
-constexpr const char* kEra = "Store-Era";
+constexpr size_t kMaxConnections = 256;
+constexpr absl::Duration kResponseDelay = absl::Milliseconds(4);
+constexpr absl::Duration kSlowResponseDelay = absl::Milliseconds(500);
+constexpr absl::Duration kCopyInterval = absl::Milliseconds(250);
+constexpr absl::Duration kCopyRetention = absl::Seconds(10);
+constexpr const char* kEraHeader = "Store-Era";
 // Of those who know what they wrote, and write it again.
-constexpr std::array kTablesOfOthers = {"op", "servers"};
+constexpr std::array kTablesNotWrittenByGateways = {"op", "servers"};
 
 std::string parameter(const std::string& target, const std::string& name) {
   const size_t begin = target.find(name + "=");
@@ -29,137 +29,138 @@
   return target.substr(value, target.find('&', value) - value);
 }
 
-uint64_t number(const std::string& text) {
+uint64_t parseNumber(const std::string& text) {
   uint64_t value = 0;
   return absl::SimpleAtoi(text, &value) ? value : 0;
 }
 
-reactor::PlainAnswer json(std::string body) {
+reactor::PlainAnswer jsonResponse(std::string body) {
   return {200, "application/json", std::move(body)};
 }
 
 }  // namespace
 
 Store::Store(boost::asio::io_context& reactor, reactor::TimerQueue& timers, size_t gateways,
-             Rendered rendered, bool tells_era)
-    : timers_(timers), rendered_(std::move(rendered)), troubles_(gateways), tells_era_(tells_era) {
+             RenderValue render_value, bool sends_era)
+    : timers_(timers), render_value_(std::move(render_value)), faults_(gateways), sends_era_(sends_era) {
   for (size_t gateway = 0; gateway < gateways; ++gateway) {
-    doors_.push_back(std::make_unique<reactor::PlainServer>(
-        reactor, Address{"127.0.0.1", 0}, kConnectionsAtMost,
-        [this, gateway](const HttpHead& question, const std::string& body,
+    servers_.push_back(std::make_unique<reactor::PlainServer>(
+        reactor, Address{"127.0.0.1", 0}, kMaxConnections,
+        [this, gateway](const HttpHead& request, const std::string& body,
                         const reactor::PlainServer::Respond& respond) {
-          take(gateway, question, body, [this, respond](reactor::PlainAnswer answer) {
-            if (tells_era_) {
-              answer.further_fields.push_back({kEra, absl::StrCat(era_)});
+          handleRequest(gateway, request, body, [this, respond](reactor::PlainAnswer dispatch) {
+            if (sends_era_) {
+              dispatch.further_fields.push_back({kEraHeader, absl::StrCat(era_)});
             }
-            respond(answer);
+            respond(dispatch);
           });
         }));
   }
-  keepCopy();
+  saveCopy();
 }
 
 void Store::put(const std::string& table, const std::string& key, const std::string& value) {
-  change(table, key, value, false);
+  writeRow(table, key, value, false);
 }
 
 void Store::remove(const std::string& table, const std::string& key) {
-  change(table, key, "", true);
+  writeRow(table, key, "", true);
 }
 
-void Store::change(const std::string& table, const std::string& key, const std::string& value, bool is_gone) {
-  tables_[table][key] = {value, ++version_, is_gone};
-  answerWaiting([&table](const Waiting& waiting) { return waiting.table == table; });
+void Store::writeRow(const std::string& table, const std::string& key, const std::string& value,
+                     bool is_deleted) {
+  tables_[table][key] = {value, ++version_, is_deleted};
+  completeLongPolls([&table](const LongPoll& long_poll) { return long_poll.table == table; });
 }
 
-void Store::answerWaiting(const std::function<bool(const Waiting&)>& is_due) {
-  for (auto waiting = waiting_.begin(); waiting != waiting_.end();) {
-    if (!is_due(*waiting)) {
-      ++waiting;
+void Store::completeLongPolls(const std::function<bool(const LongPoll&)>& is_due) {
+  for (auto long_poll = long_polls_.begin(); long_poll != long_polls_.end();) {
+    if (!is_due(*long_poll)) {
+      ++long_poll;
       continue;
     }
-    timers_.cancel(waiting->limit);
-    waiting->respond(changes(waiting->gateway, waiting->table, waiting->after));
-    waiting = waiting_.erase(waiting);
+    timers_.cancel(long_poll->timeout_timer);
+    long_poll->respond(changesSince(long_poll->gateway, long_poll->table, long_poll->after));
+    long_poll = long_polls_.erase(long_poll);
   }
 }
 
-void Store::keepCopy() {
+void Store::saveCopy() {
   const absl::Time now = reactor::steadyNow();
-  copies_.push_back({now, tables_, version_, forgotten_});
-  while (copies_.front().made < now - kCopiesKept) {
+  copies_.push_back({now, tables_, version_, oldest_kept_version_});
+  while (copies_.front().made < now - kCopyRetention) {
     copies_.pop_front();
   }
-  timers_.schedule(now + kBetweenCopies, [this] { keepCopy(); });
+  timers_.schedule(now + kCopyInterval, [this] { saveCopy(); });
 }
 
-void Store::goBack(absl::Duration ago) {
+void Store::restoreCopy(absl::Duration ago) {
   const absl::Time latest = reactor::steadyNow() - ago;
   // What is newer than the copy never was, for a second restore as well.
   while (!copies_.empty() && copies_.back().made > latest) {
     copies_.pop_back();
   }
   const Copy copy = copies_.empty() ? Copy{latest, {}, 1, 0} : copies_.back();
-  const Tables lost = std::exchange(tables_, copy.tables);
+  const Tables previous_tables = std::exchange(tables_, copy.tables);
   version_ = copy.version;
-  forgotten_ = copy.forgotten;
+  oldest_kept_version_ = copy.oldest_kept_version;
   ++era_;
-  answerWaiting([this](const Waiting& waiting) { return isGone(waiting.after); });
-  for (const char* const table : kTablesOfOthers) {
-    const auto written = lost.find(table);
-    if (written == lost.end()) {
+  completeLongPolls([this](const LongPoll& long_poll) { return isUnavailable(long_poll.after); });
+  for (const char* const table : kTablesNotWrittenByGateways) {
+    const auto written = previous_tables.find(table);
+    if (written == previous_tables.end()) {
       continue;
     }
     for (const auto& [key, row] : written->second) {
       const auto& rows = tables_[table];
       const auto found = rows.find(key);
       if (found == rows.end() || found->second.version != row.version) {
-        change(table, key, row.value, row.is_gone);
+        writeRow(table, key, row.value, row.is_deleted);
       }
     }
   }
 }
 
-void Store::take(size_t gateway, const HttpHead& question, const std::string& body,
-                 const reactor::PlainServer::Respond& respond) {
-  const StoreTrouble& trouble = troubles_[gateway];
-  if (trouble.is_silent) {
+void Store::handleRequest(size_t gateway, const HttpHead& request, const std::string& body,
+                          const reactor::PlainServer::Respond& respond) {
+  const StoreFaults& faults = faults_[gateway];
+  if (faults.is_silent) {
     return;
   }
-  if (trouble.refuses) {
+  if (faults.refuses) {
     respond({503, "text/plain", ""});
     return;
   }
-  const absl::Duration time = trouble.is_slow ? kSlowAnswerTime : kAnswerTime;
+  const absl::Duration time = faults.is_slow ? kSlowResponseDelay : kResponseDelay;
   timers_.schedule(reactor::steadyNow() + time,
-                   [this, gateway, question, body, respond] { answer(gateway, question, body, respond); });
+                   [this, gateway, request, body, respond] { dispatch(gateway, request, body, respond); });
 }
 
-void Store::answer(size_t gateway, const HttpHead& question, const std::string& body,
-                   const reactor::PlainServer::Respond& respond) {
-  if (question.target.starts_with("/v1/rows-feed")) {
-    follow(gateway, question.target, respond);
-  } else if (question.target.starts_with("/v1/rows-get")) {
-    respond(readRows(gateway, question.target));
+void Store::dispatch(size_t gateway, const HttpHead& request, const std::string& body,
+                     const reactor::PlainServer::Respond& respond) {
+  if (request.target.starts_with("/v1/rows-feed")) {
+    longPoll(gateway, request.target, respond);
+  } else if (request.target.starts_with("/v1/rows-get")) {
+    respond(readRows(gateway, request.target));
   } else {
     const reactor::PlainAnswer written = write(body);
-    if (!troubles_[gateway].loses_answers) {
+    if (!faults_[gateway].drops_responses) {
       respond(written);
     }
   }
 }
 
-std::string Store::tail() const {
+std::string Store::printVersionAndTime() const {
   const int64_t now_ms = absl::ToUnixMillis(reactor::steadyNow());
   return absl::StrCat(R"("ver":)", version_, R"(,"now_ms":)", now_ms, "}");
 }
 
 std::string Store::printRow(size_t gateway, const std::string& table, const std::string& key,
                             const Row& row) const {
-  const std::string value = row.is_gone ? "" : rendered_(table, key, row.value, gateway);
+  const std::string value = row.is_deleted ? "" : render_value_(table, key, row.value, gateway);
   return absl::StrCat(R"({"table":")", table, R"(","key":")", key, R"(","value":")",
                       absl::Base64Escape(value), R"(","ver":)", row.version,
-                      row.is_gone ? R"(,"gone":true})" : "}");
+                      row.is_deleted ? R"(,"gone":true})" : "}");
 }
 
 reactor::PlainAnswer Store::readRows(size_t gateway, const std::string& target) const {
@@ -168,16 +169,16 @@
   std::string rows;
   if (const auto found = tables_.find(table); found != tables_.end()) {
     for (const auto& [key, row] : found->second) {
-      if (!row.is_gone && key >= from) {
+      if (!row.is_deleted && key >= from) {
         absl::StrAppend(&rows, rows.empty() ? "" : ",", printRow(gateway, table, key, row));
       }
     }
   }
-  return json(absl::StrCat(R"({"rows":[)", rows, R"(],"more":false,)", tail()));
+  return jsonResponse(absl::StrCat(R"({"rows":[)", rows, R"(],"more":false,)", printVersionAndTime()));
 }
 
-reactor::PlainAnswer Store::changes(size_t gateway, const std::string& table, uint64_t after) const {
-  if (isGone(after)) {
+reactor::PlainAnswer Store::changesSince(size_t gateway, const std::string& table, uint64_t after) const {
+  if (isUnavailable(after)) {
     return {410, "text/plain", ""};
   }
   std::string rows;
@@ -188,26 +189,28 @@
       }
     }
   }
-  return json(absl::StrCat(R"({"rows":[)", rows, "],", tail()));
+  return jsonResponse(absl::StrCat(R"({"rows":[)", rows, "],", printVersionAndTime()));
 }
 
-void Store::follow(size_t gateway, const std::string& target, const reactor::PlainServer::Respond& respond) {
+void Store::longPoll(size_t gateway, const std::string& target,
+                     const reactor::PlainServer::Respond& respond) {
   const std::string table = parameter(target, "table");
-  const uint64_t after = number(parameter(target, "after"));
-  bool is_news = isGone(after);
+  const uint64_t after = parseNumber(parameter(target, "after"));
+  bool has_changes = isUnavailable(after);
   for (const auto& [key, row] : tables_[table]) {
-    is_news = is_news || row.version > after;
+    has_changes = has_changes || row.version > after;
   }
-  if (is_news) {
-    respond(changes(gateway, table, after));
+  if (has_changes) {
+    respond(changesSince(gateway, table, after));
     return;
   }
-  waiting_.push_back({gateway, table, after, respond, {}});
-  const auto place = std::prev(waiting_.end());
-  const absl::Duration wait = absl::Milliseconds(static_cast<int64_t>(number(parameter(target, "waitMs"))));
-  place->limit = timers_.schedule(reactor::steadyNow() + wait, [this, place] {
-    place->respond(changes(place->gateway, place->table, place->after));
-    waiting_.erase(place);
+  long_polls_.push_back({gateway, table, after, respond, {}});
+  const auto position = std::prev(long_polls_.end());
+  const absl::Duration wait =
+      absl::Milliseconds(static_cast<int64_t>(parseNumber(parameter(target, "waitMs"))));
+  position->timeout_timer = timers_.schedule(reactor::steadyNow() + wait, [this, position] {
+    position->respond(changesSince(position->gateway, position->table, position->after));
+    long_polls_.erase(position);
   });
 }
 
@@ -216,17 +219,17 @@
   for (const auto& condition : transaction["expectedRevision"]) {
     const auto& rows = tables_[condition["table"]];
     const auto found = rows.find(condition["key"]);
-    const bool is_there = found != rows.end() && !found->second.is_gone;
-    if ((is_there ? found->second.version : 0) != condition["ver"].get<uint64_t>()) {
-      return {412, "application/json", absl::StrCat(R"({"rows":[],)", tail())};
+    const bool is_present = found != rows.end() && !found->second.is_deleted;
+    if ((is_present ? found->second.version : 0) != condition["ver"].get<uint64_t>()) {
+      return {412, "application/json", absl::StrCat(R"({"rows":[],)", printVersionAndTime())};
     }
   }
   for (const auto& row : transaction["put"]) {
     std::string value;
     absl::Base64Unescape(row["value"].get<std::string>(), &value);
-    change(row["table"], row["key"], value, false);
+    writeRow(row["table"], row["key"], value, false);
   }
-  return json("{" + tail());
+  return jsonResponse("{" + printVersionAndTime());
 }
 
 }  // namespace quincewick::soak
--- a/tests/soak/store.h
+++ b/tests/soak/store.h
@@ -19,80 +19,80 @@
 namespace quincewick::soak {
 
 // What a gateway meets at the store.
-struct StoreTrouble {
-  bool refuses = false;        // 503 to everything
-  bool is_silent = false;      // no answers
-  bool is_slow = false;        // they take half a second longer
-  bool loses_answers = false;  // writes are done and not answered
+struct StoreFaults {
+  bool refuses = false;          // 503 to everything
+  bool is_silent = false;        // no answers
+  bool is_slow = false;          // they take half a second longer
+  bool drops_responses = false;  // writes are done and not answered
 };
 
 class Store {
  public:
-  // `rendered`: a row's value as that gateway is to see it.
-  using Rendered = std::function<std::string(const std::string& table, const std::string& key,
-                                             const std::string& value, size_t gateway)>;
+  // `render_value`: a row's value as that gateway is to see it.
+  using RenderValue = std::function<std::string(const std::string& table, const std::string& key,
+                                                const std::string& value, size_t gateway)>;
 
-  // Listens for each gateway at a port of its own. `tells_era`: in each answer, as a store does that can be
+  // Listens for each gateway at a port of its own. `sends_era`: in each answer, as a store does that can be
   // restored from a copy.
-  Store(boost::asio::io_context& reactor, reactor::TimerQueue& timers, size_t gateways, Rendered rendered,
-        bool tells_era = true);
+  Store(boost::asio::io_context& reactor, reactor::TimerQueue& timers, size_t gateways,
+        RenderValue render_value, bool sends_era = true);
 
-  Address addressFor(size_t gateway) const { return {"127.0.0.1", doors_[gateway]->port()}; }
-  StoreTrouble& trouble(size_t gateway) { return troubles_[gateway]; }
+  Address addressFor(size_t gateway) const { return {"127.0.0.1", servers_[gateway]->port()}; }
+  StoreFaults& faults(size_t gateway) { return faults_[gateway]; }
   void put(const std::string& table, const std::string& key, const std::string& value);
   void remove(const std::string& table, const std::string& key);
   // Changes up to now can't be told any more.
-  void forgetHistory() { forgotten_ = version_; }
+  void dropChangeHistory() { oldest_kept_version_ = version_; }
   // Becomes the copy that was made so long ago, or was empty where there is none: versions are given out
   // again, and what gateways wrote since is lost. What others wrote they write anew at once.
-  void goBack(absl::Duration ago);
+  void restoreCopy(absl::Duration ago);
 
  private:
   struct Row {
     std::string value;
     uint64_t version = 0;
-    bool is_gone = false;
+    bool is_deleted = false;
   };
   using Tables = std::map<std::string, std::map<std::string, Row>>;
   struct Copy {
     absl::Time made;
     Tables tables;
     uint64_t version = 0;
-    uint64_t forgotten = 0;
+    uint64_t oldest_kept_version = 0;
   };
-  struct Waiting {
+  struct LongPoll {
     size_t gateway = 0;
     std::string table;
     uint64_t after = 0;
     reactor::PlainServer::Respond respond;
-    reactor::TimerQueue::Key limit;
+    reactor::TimerQueue::Key timeout_timer;
   };
 
-  void take(size_t gateway, const HttpHead& question, const std::string& body,
-            const reactor::PlainServer::Respond& respond);
-  void answer(size_t gateway, const HttpHead& question, const std::string& body,
-              const reactor::PlainServer::Respond& respond);
+  void handleRequest(size_t gateway, const HttpHead& request, const std::string& body,
+                     const reactor::PlainServer::Respond& respond);
+  void dispatch(size_t gateway, const HttpHead& request, const std::string& body,
+                const reactor::PlainServer::Respond& respond);
   reactor::PlainAnswer readRows(size_t gateway, const std::string& target) const;
   reactor::PlainAnswer write(const std::string& body);
-  void follow(size_t gateway, const std::string& target, const reactor::PlainServer::Respond& respond);
-  reactor::PlainAnswer changes(size_t gateway, const std::string& table, uint64_t after) const;
+  void longPoll(size_t gateway, const std::string& target, const reactor::PlainServer::Respond& respond);
+  reactor::PlainAnswer changesSince(size_t gateway, const std::string& table, uint64_t after) const;
   std::string printRow(size_t gateway, const std::string& table, const std::string& key,
                        const Row& row) const;
-  void change(const std::string& table, const std::string& key, const std::string& value, bool is_gone);
-  std::string tail() const;
-  bool isGone(uint64_t version) const { return version < forgotten_ || version > version_; }
-  void keepCopy();
-  void answerWaiting(const std::function<bool(const Waiting&)>& is_due);
+  void writeRow(const std::string& table, const std::string& key, const std::string& value, bool is_deleted);
+  std::string printVersionAndTime() const;
+  bool isUnavailable(uint64_t version) const { return version < oldest_kept_version_ || version > version_; }
+  void saveCopy();
+  void completeLongPolls(const std::function<bool(const LongPoll&)>& is_due);
 
   reactor::TimerQueue& timers_;
-  Rendered rendered_;
-  std::vector<std::unique_ptr<reactor::PlainServer>> doors_;
-  std::vector<StoreTrouble> troubles_;
+  RenderValue render_value_;
+  std::vector<std::unique_ptr<reactor::PlainServer>> servers_;
+  std::vector<StoreFaults> faults_;
   Tables tables_;
   uint64_t version_ = 1;
-  uint64_t forgotten_ = 0;
-  std::list<Waiting> waiting_;
-  bool tells_era_;
+  uint64_t oldest_kept_version_ = 0;
+  std::list<LongPoll> long_polls_;
+  bool sends_era_;
   uint64_t era_ = 1;
   std::deque<Copy> copies_;  // in order
 };
--- a/tests/soak/store_test.cc
+++ b/tests/soak/store_test.cc
@@ -18,15 +18,15 @@
   Store store;
   reactor::HttpCaller gateway;
 
-  explicit Site(bool tells_era = true)
+  explicit Site(bool sends_era = true)
       : store(
             reactor, timers, 1,
             [](const std::string& /*table*/, const std::string& /*key*/, const std::string& value,
                size_t /*gateway*/) { return value; },
-            tells_era),
+            sends_era),
         gateway(reactor, timers, store.addressFor(0)) {}
 
-  reactor::HttpReply ask(const HttpCall& call) {
+  reactor::HttpReply sendRequest(const HttpCall& call) {
     std::optional<reactor::HttpReply> reply;
     gateway.call(call, absl::Seconds(5),
                  [&reply](const Result<reactor::HttpReply>& given) { reply = given.value(); });
@@ -36,7 +36,7 @@
     return *reply;
   }
   nlohmann::json rowsOf(const std::string& table) {
-    return nlohmann::json::parse(ask({"GET", "/v1/rows-get?table=" + table, {}, ""}).body);
+    return nlohmann::json::parse(sendRequest({"GET", "/v1/rows-get?table=" + table, {}, ""}).body);
   }
   int write(const std::string& value, uint64_t expected) {
     const nlohmann::json row = {{"table", "own"}, {"key", "row"}};
@@ -45,17 +45,17 @@
     nlohmann::json put = row;
     put["value"] = absl::Base64Escape(value);
     const nlohmann::json transaction = {{"expectedRevision", {condition}}, {"put", {put}}};
-    return ask({"POST", "/v1/rows-tx", {}, transaction.dump()}).head.status;
+    return sendRequest({"POST", "/v1/rows-tx", {}, transaction.dump()}).head.status;
   }
   std::string era() {
-    const reactor::HttpReply reply = ask({"GET", "/v1/rows-get?table=own", {}, ""});
+    const reactor::HttpReply reply = sendRequest({"GET", "/v1/rows-get?table=own", {}, ""});
     const std::string* const field = findField(reply.head.fields, "Store-Era");
     return field == nullptr ? "" : *field;
   }
   void pass(absl::Duration time) {
-    bool is_over = false;
-    timers.schedule(reactor::steadyNow() + time, [&is_over] { is_over = true; });
-    while (!is_over) {
+    bool is_finished = false;
+    timers.schedule(reactor::steadyNow() + time, [&is_finished] { is_finished = true; });
+    while (!is_finished) {
       reactor.run_one();
     }
   }
@@ -67,11 +67,12 @@
   CHECK(site.write("first", 0) == 200);
   const uint64_t version = site.rowsOf("own")["ver"];
   CHECK(site.era() == "1");
-  site.store.goBack(absl::InfiniteDuration());
+  site.store.restoreCopy(absl::InfiniteDuration());
   CHECK(site.era() == "2");
   CHECK(site.rowsOf("own")["rows"].empty());
   CHECK(site.rowsOf("op")["rows"].size() == 1);
-  CHECK(site.ask({"GET", absl::StrCat("/v1/rows-feed?table=own&after=", version, "&waitMs=9000"), {}, ""})
+  CHECK(site.sendRequest(
+                {"GET", absl::StrCat("/v1/rows-feed?table=own&after=", version, "&waitMs=9000"), {}, ""})
             .head.status == 410);
   CHECK(site.write("second", 0) == 200);
   CHECK(site.rowsOf("own")["ver"].get<uint64_t>() == version);
@@ -85,7 +86,7 @@
   site.pass(absl::Milliseconds(600));
   CHECK(site.write("second", before["rows"][0]["ver"]) == 200);
   site.store.remove("servers", "s-1");
-  site.store.goBack(absl::Milliseconds(100));
+  site.store.restoreCopy(absl::Milliseconds(100));
   const nlohmann::json after = site.rowsOf("own");
   CHECK(after["rows"] == before["rows"]);
   CHECK(site.rowsOf("servers")["rows"].empty());
@@ -96,15 +97,16 @@
   CHECK(site.write("first", 0) == 200);
   const uint64_t version = site.rowsOf("own")["ver"];
   site.timers.schedule(reactor::steadyNow() + absl::Milliseconds(100),
-                       [&site] { site.store.goBack(absl::InfiniteDuration()); });
-  CHECK(site.ask({"GET", absl::StrCat("/v1/rows-feed?table=own&after=", version, "&waitMs=9000"), {}, ""})
+                       [&site] { site.store.restoreCopy(absl::InfiniteDuration()); });
+  CHECK(site.sendRequest(
+                {"GET", absl::StrCat("/v1/rows-feed?table=own&after=", version, "&waitMs=9000"), {}, ""})
             .head.status == 410);
 }
 
 TEST_CASE("a store that tells no era goes back without a word") {
   Site site(false);
   CHECK(site.era().empty());
-  site.store.goBack(absl::InfiniteDuration());
+  site.store.restoreCopy(absl::InfiniteDuration());
   CHECK(site.era().empty());
 }
 
