--- a/src/cli/load_command.cc
+++ b/src/cli/load_command.cc
@@ -19,9 +19,9 @@
 namespace quincewick::cli {
 namespace {
 
-constexpr double kLargestRate = 100'000.0;
-constexpr double kLongestSeconds = 86'400.0;
-constexpr uint32_t kMostWorkers = 4096;
+constexpr double kMaxRequestsPerSecond = 100'000.0;
+constexpr double kMaxSeconds = 86'400.0;
+constexpr uint32_t kMaxWorkers = 4096;
 
 struct LoadSettings {
   loadgen::Workload workload;
@@ -35,17 +35,18 @@
 cxxopts::Options makeOptions() {
   cxxopts::Options options("quincewick load", "Sends a workload to routers and reports what callers saw.");
   cxxopts::OptionAdder add = options.add_options();
-  add("target", "callers' addresses of routers, IP:PORT[,IP:PORT...]", cxxopts::value<std::string>());
+  add("target", "router addresses for callers, IP:PORT[,IP:PORT...]", cxxopts::value<std::string>());
   add("workload", "the workload file (YAML)", cxxopts::value<std::string>());
   add("seconds", "how long to send", cxxopts::value<double>()->default_value("10"));
   add("rate", "mean requests a second", cxxopts::value<double>()->default_value("10"));
-  add("seed", "repeats the same arrivals", cxxopts::value<uint64_t>()->default_value("1"));
+  add("seed", "random seed; the same seed gives the same arrivals",
+      cxxopts::value<uint64_t>()->default_value("1"));
   add("workers", "requests that can be in flight at once", cxxopts::value<uint32_t>()->default_value("256"));
   add("key", "one caller's key for all requests, in place of the tenants' own",
       cxxopts::value<std::string>());
-  add("action-servers", "addresses asked for their runs at the end, IP:PORT[,IP:PORT...]",
+  add("action-servers", "action servers whose executions are counted at the end, IP:PORT[,IP:PORT...]",
       cxxopts::value<std::string>());
-  add("patience", "seconds to wait for the next byte of an answer",
+  add("patience", "seconds to wait for the next byte of a response",
       cxxopts::value<double>()->default_value("60"));
   add("output", "write the result (JSON) here; - for standard output",
       cxxopts::value<std::string>()->default_value("-"));
@@ -76,8 +77,8 @@
 
 Result<nlohmann::json> readJsonFile(const std::string& path) {
   std::ifstream file(path);
-  constexpr bool throw_nothing = false;
-  nlohmann::json json = nlohmann::json::parse(file, nullptr, throw_nothing);
+  constexpr bool allow_exceptions = false;
+  nlohmann::json json = nlohmann::json::parse(file, nullptr, allow_exceptions);
   if (!json.is_object()) {
     return fail(ErrorCode::kInvalidArgument, absl::StrCat(path, " is not a result of this command"));
   }
@@ -88,16 +89,16 @@
   BOOST_OUTCOME_TRY(targets, requiredFlag(flags, "target"));
   BOOST_OUTCOME_TRY(addresses, loadgen::parseAddresses(targets));
   driver.targets = std::move(addresses);
-  BOOST_OUTCOME_TRY(seconds, boundedNumber(flags, "seconds", kLongestSeconds));
+  BOOST_OUTCOME_TRY(seconds, boundedNumber(flags, "seconds", kMaxSeconds));
   driver.length = absl::Seconds(seconds);
-  BOOST_OUTCOME_TRY(rate, boundedNumber(flags, "rate", kLargestRate));
+  BOOST_OUTCOME_TRY(rate, boundedNumber(flags, "rate", kMaxRequestsPerSecond));
   driver.rate = rate;
-  BOOST_OUTCOME_TRY(patience, boundedNumber(flags, "patience", kLongestSeconds));
+  BOOST_OUTCOME_TRY(patience, boundedNumber(flags, "patience", kMaxSeconds));
   driver.patience = absl::Seconds(patience);
   driver.seed = flags["seed"].as<uint64_t>();
   driver.workers = flags["workers"].as<uint32_t>();
-  if (driver.workers == 0 || driver.workers > kMostWorkers) {
-    return fail(ErrorCode::kInvalidArgument, absl::StrCat("--workers must be from 1 to ", kMostWorkers));
+  if (driver.workers == 0 || driver.workers > kMaxWorkers) {
+    return fail(ErrorCode::kInvalidArgument, absl::StrCat("--workers must be from 1 to ", kMaxWorkers));
   }
   if (flags.count("key") > 0) {
     driver.key = flags["key"].as<std::string>();
@@ -157,24 +158,25 @@
   return outcome::success();
 }
 
-int runWith(const cxxopts::ParseResult& flags) {
+int runWithFlags(const cxxopts::ParseResult& flags) {
   const Result<LoadSettings> settings = readSettings(flags);
   if (settings.has_error()) {
     std::cerr << "quincewick load: " << settings.error().message << "\n";
     return kExitMisuse;
   }
-  const LoadSettings& chosen = settings.value();
-  const loadgen::RunRecord record = loadgen::runLoad(chosen.workload, chosen.driver);
+  const LoadSettings& load_settings = settings.value();
+  const loadgen::RunRecord record = loadgen::runLoad(load_settings.workload, load_settings.driver);
   const nlohmann::json result =
-      loadgen::summarise(chosen.workload, chosen.driver, chosen.description, record);
-  const Result<void> written = writeAll(chosen, result);
+      loadgen::summarise(load_settings.workload, load_settings.driver, load_settings.description, record);
+  const Result<void> written = writeAll(load_settings, result);
   if (written.has_error()) {
     std::cerr << "quincewick load: " << written.error().message << "\n";
     return kExitFailure;
   }
   const uint64_t violations = loadgen::violationCount(result);
   if (violations > 0) {
-    std::cerr << "quincewick load: " << violations << " broken promises, see 'violations' in the result\n";
+    std::cerr << "quincewick load: " << violations
+              << " violated guarantees; see 'violations' in the result\n";
     return kExitFailure;
   }
   return kExitSuccess;
@@ -190,7 +192,7 @@
       std::cout << options.help();
       return kExitSuccess;
     }
-    return runWith(flags);
+    return runWithFlags(flags);
   } catch (const cxxopts::exceptions::exception& exception) {
     std::cerr << "quincewick load: " << exception.what() << "; see --help\n";
     return kExitMisuse;
--- a/src/forwarding/attempt_ledger.cc
+++ b/src/forwarding/attempt_ledger.cc
@@ -17,37 +17,37 @@
          status == kUnavailable;
 }
 
-void AttemptLedger::noteEnd(AttemptEnd end) {
-  switch (end) {
-    case AttemptEnd::kNeverSent:
+void AttemptLedger::noteOutcome(AttemptOutcome outcome) {
+  switch (outcome) {
+    case AttemptOutcome::kNeverSent:
       ++never_sent_;
       break;
-    case AttemptEnd::kRefused:
+    case AttemptOutcome::kRefused:
       ++refused_;
       break;
-    case AttemptEnd::kUnknown:
+    case AttemptOutcome::kUnknown:
       ++unknown_;
       break;
-    case AttemptEnd::kFailed:
+    case AttemptOutcome::kFailed:
       ++failed_;
       break;
   }
 }
 
-bool AttemptLedger::mayTryAgain() const {
+bool AttemptLedger::mayRetry() const {
   if (refused_ >= kMaximumRefusals || never_sent_ >= kMaximumNeverSent) {
     return false;
   }
   const uint32_t runs = unknown_ + failed_;
-  return runs == 0 || (may_run_again_ && runs < max_attempts_);
+  return runs == 0 || (is_repeatable_ && runs < max_attempts_);
 }
 
 Execution AttemptLedger::execution() const {
   if (failed_ > 0) {
     return Execution::kRan;
   }
-  const bool all_told = refused_ == sent_;
-  return all_told ? Execution::kNotRun : Execution::kUnknown;
+  const bool are_all_refused = refused_ == sent_;
+  return are_all_refused ? Execution::kNotRun : Execution::kUnknown;
 }
 
 int AttemptLedger::finalStatus(bool out_of_time) const {
--- a/src/forwarding/server_choice.cc
+++ b/src/forwarding/server_choice.cc
@@ -10,8 +10,8 @@
 
 constexpr double kUnknownLatencySeconds = 0.03;
 constexpr double kOtherZoneSeconds = 0.003;
-constexpr double kFailureWeight = 1.0;  // one failure just now counts as a server twice as slow
-constexpr double kTieBreak = 0.05;      // random share, so that nodes don't all take the same server
+constexpr double kFailureWeight = 1.0;  // one failure just now doubles the expected latency
+constexpr double kTieBreak = 0.05;      // random share, so that nodes don't all choose the same server
 
 double expectedSeconds(const Server& server, const ZoneName& own_zone, absl::Time now) {
   const double latency = server.latency_seconds > 0 ? server.latency_seconds : kUnknownLatencySeconds;
@@ -31,7 +31,7 @@
   for (const auto& server : servers) {
     const bool is_excluded =
         std::find(excluded.begin(), excluded.end(), server->identity_hash) != excluded.end();
-    if (is_excluded || !server->takesWork(now)) {
+    if (is_excluded || !server->isEligible(now)) {
       continue;
     }
     const double cost =
@@ -44,13 +44,13 @@
   return best;
 }
 
-absl::Time firstFree(const std::vector<ServerDirectory::ServerPointer>& servers, absl::Time now) {
+absl::Time firstAvailableAt(const std::vector<ServerDirectory::ServerPointer>& servers, absl::Time now) {
   absl::Time first = absl::InfiniteFuture();
   for (const auto& server : servers) {
     if (server->isLeaving() || !server->is_readable) {
       continue;
     }
-    const absl::Time free_at = server->back_pressure->freeAt();
+    const absl::Time free_at = server->back_pressure->availableAt();
     if (free_at <= now) {
       return absl::InfiniteFuture();
     }
--- a/src/gateway/crash_message.cc
+++ b/src/gateway/crash_message.cc
@@ -8,23 +8,22 @@
 
 namespace {
 
-constexpr uint32_t kRequestsAtMost = 64;    // of one datagram
-constexpr int64_t kLongestAgo = 3'600'000;  // in milliseconds
+constexpr uint32_t kMaxRequests = 64;  // in one crash
+constexpr int64_t kMaxAgeMs = 3'600'000;
 
 }  // namespace
 
 template <class Archive>
-void serialize(Archive& archive, ServerEnd& end) {
-  auto ago_ms =
-      static_cast<uint32_t>(std::clamp<int64_t>(absl::ToInt64Milliseconds(end.ago), 0, kLongestAgo));
-  archive(end.life, end.service, ago_ms);
-  archiveList(archive, end.there, kRequestsAtMost);
+void serialize(Archive& archive, ServerCrash& end) {
+  auto ago_ms = static_cast<uint32_t>(std::clamp<int64_t>(absl::ToInt64Milliseconds(end.ago), 0, kMaxAgeMs));
+  archive(end.incarnation, end.service, ago_ms);
+  archiveList(archive, end.in_flight, kMaxRequests);
   end.ago = absl::Milliseconds(ago_ms);
 }
 
 template <class Archive>
-void serialize(Archive& archive, BlamedRequest& blamed) {
-  archive(blamed.identity, blamed.was_tried);
+void serialize(Archive& archive, QuarantinedRequest& blamed) {
+  archive(blamed.identity, blamed.had_trial);
 }
 
 }  // namespace quincewick::forwarding
@@ -33,7 +32,7 @@
 namespace {
 
 constexpr uint8_t kVersion = 1;
-constexpr uint32_t kListedAtMost = 64;
+constexpr uint32_t kMaxListed = 64;
 
 }  // namespace
 
@@ -42,11 +41,11 @@
   uint8_t version = kVersion;
   archive(version);
   if (version != kVersion) {
-    throw cereal::Exception("a version that is not known");
+    throw cereal::Exception("unknown message version");
   }
-  archiveList(archive, message.ends, kListedAtMost);
-  archiveList(archive, message.sound, kListedAtMost);
-  archiveList(archive, message.blamed, kListedAtMost);
+  archiveList(archive, message.crashes, kMaxListed);
+  archiveList(archive, message.cleared, kMaxListed);
+  archiveList(archive, message.quarantined, kMaxListed);
 }
 
 std::string encodeCrashMessage(const CrashMessage& message) {
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -7,27 +7,27 @@
 #include <utility>
 
 #include "forwarding/server_choice.h"
-#include "gateway/crash_watch.h"
+#include "gateway/crash_detector.h"
 
 namespace quincewick::gateway {
 namespace {
 
-using forwarding::AttemptEnd;
+using forwarding::AttemptOutcome;
 using forwarding::RepeatKind;
 
-constexpr absl::Duration kLeastTimeToTry = absl::Milliseconds(15);
-constexpr uint32_t kLeastUrgent = 9;
+constexpr absl::Duration kMinTimeToSend = absl::Milliseconds(15);
+constexpr uint32_t kLowestPriority = 9;
 constexpr int kBadGateway = 502;
-// Between looks whether a request that waits may be sent.
-constexpr absl::Duration kCrashVerdictPause = absl::Milliseconds(10);
-// What is found of an end is known within 0.4 s. Beyond that a request waits for the runs of other suspects,
-// of which there are many where servers fall all the time: then it goes beside them.
-constexpr absl::Duration kLongestCrashWait = absl::Seconds(1);
-constexpr std::string_view kEndsServers = "ends_servers";
+// Between checks whether a waiting request may be sent.
+constexpr absl::Duration kCrashCheckInterval = absl::Milliseconds(10);
+// A crash is attributed within 0.4 s. Beyond that the request would wait for other suspects to finish, of
+// which there are many while servers crash continuously; it is then sent alongside them.
+constexpr absl::Duration kMaxCrashWait = absl::Seconds(1);
+constexpr std::string_view kCrashesServers = "ends_servers";
 
 }  // namespace
 
-Exchange::Exchange(Core& core, BackEndPool& pool, HttpHead head, std::string body, AnswerSink* sink)
+Exchange::Exchange(Core& core, BackEndPool& pool, HttpHead head, std::string body, ResponseSink* sink)
     : core_(core),
       pool_(pool),
       head_(std::move(head)),
@@ -40,7 +40,7 @@
 Exchange::~Exchange() {
   core_.timers.cancel(deadline_timer_);
   core_.timers.cancel(crash_timer_);
-  settleQuota();
+  releaseQuota();
   releaseServer();
   --core_.requests_under_way;
 }
@@ -59,33 +59,33 @@
   setDeadline();
   chooseService();
   core_.budget.noteRequest(service_);
-  if (core_.crashes->verdictOn(identity_) == forwarding::CrashVerdict::kReject) {
+  if (core_.crash_detector->verdictOn(identity_) == forwarding::CrashVerdict::kReject) {
     rejectForCrashes();
     return;
   }
-  askQuota();
+  requestQuota();
 }
 
 void Exchange::tryNext() {
-  places_asked_ = 0;
+  reservations_requested_ = 0;
   software_.reset();
-  if (!mayBeSent()) {
+  if (!maySend()) {
     return;
   }
   if (!chooseTarget()) {
     giveUp(false, kNoServer);
     return;
   }
-  if (engine_ && core_.settings.placement.booked_places) {
-    askForPlace();
+  if (engine_ && core_.settings.placement.reserve_slots) {
+    reserveSlot();
   } else {
-    sendChosen();
+    sendToChosenServer();
   }
 }
 
-bool Exchange::mayBeSent() {
+bool Exchange::maySend() {
   const absl::Time now = reactor::steadyNow();
-  if (deadline_ - now < kLeastTimeToTry) {
+  if (deadline_ - now < kMinTimeToSend) {
     giveUp(true, "no_time_left");
     return false;
   }
@@ -96,21 +96,20 @@
   return mayReachServers();
 }
 
-// Asked before each send, for what is known of a request outlives its arrivals: it may have ended servers
-// through other gateways while this one chose.
+// Checked before each send: the request may have crashed servers through other gateways since its arrival.
 bool Exchange::mayReachServers() {
   const absl::Time now = reactor::steadyNow();
-  switch (core_.crashes->verdictOn(identity_)) {
+  switch (core_.crash_detector->verdictOn(identity_)) {
     case forwarding::CrashVerdict::kSend:
       return true;
     case forwarding::CrashVerdict::kWait:
-      crash_wait_ends_ = std::min(crash_wait_ends_, now + kLongestCrashWait);
+      crash_wait_ends_ = std::min(crash_wait_ends_, now + kMaxCrashWait);
       if (now >= crash_wait_ends_) {
         return true;
       }
       releaseServer();
       server_ = nullptr;
-      crash_timer_ = core_.timers.schedule(now + kCrashVerdictPause, [this] {
+      crash_timer_ = core_.timers.schedule(now + kCrashCheckInterval, [this] {
         const auto self = shared_from_this();
         crash_timer_ = reactor::TimerQueue::Key();
         tryNext();
@@ -123,32 +122,33 @@
   return true;
 }
 
-// Neither "it has not run", nor a time to come back: it would end the next servers.
+// The response neither says that the request did not run nor has a Retry-After: a retry would crash the next
+// servers.
 void Exchange::rejectForCrashes() {
-  if (head_passed_ || has_failure_) {
-    giveUp(false, kEndsServers);
+  if (is_head_forwarded_ || has_failure_) {
+    giveUp(false, kCrashesServers);
   } else {
-    refuse(kBadGateway, kEndsServers, absl::ZeroDuration());
+    reject(kBadGateway, kCrashesServers, absl::ZeroDuration());
   }
 }
 
-void Exchange::sendChosen() {
+void Exchange::sendToChosenServer() {
   const absl::Time now = reactor::steadyNow();
   const bool has_waited = engine_ || rate_grant_;
-  if (has_waited && !mayBeSent()) {
+  if (has_waited && !maySend()) {
     return;
   }
-  // It may have left, or asked for rest, while the keeper of its books was asked.
+  // The server may have left or asked for a back-off period while the owner of its occupancy was queried.
   if (!server_->mayReceive(now) || !mayStillUseServer()) {
     releaseServer();
     tryNext();
     return;
   }
   if (server_->back_pressure->rateLimit() && !rate_grant_) {
-    askForRate();
+    requestRate();
     return;
   }
-  if (ledger_.wouldRepeat() && !mayRepeat(now)) {
+  if (ledger_.isNextRetry() && !mayRepeat(now)) {
     releaseServer();
     server_ = nullptr;
     giveUp(false, "retry_budget");
@@ -160,34 +160,34 @@
   sendAttempt();
 }
 
-// A tenant's urgency goes before the route's.
-uint32_t Exchange::levelAtEngine() const {
+// A tenant's urgency overrides the route's.
+uint32_t Exchange::enginePriority() const {
   const uint32_t urgency = tenant_ != nullptr && tenant_->urgency ? *tenant_->urgency : route_->urgency;
   if (core_.settings.placement.late_within_class) {
-    return configuration_->levelsOf(service_).levelOf(urgency, gives_way_);
+    return configuration_->levelsOf(service_).levelOf(urgency, yields_);
   }
-  return gives_way_ ? kLeastUrgent : std::min(urgency, kLeastUrgent - 1);
+  return yields_ ? kLowestPriority : std::min(urgency, kLowestPriority - 1);
 }
 
 bool Exchange::mayRepeat(absl::Time now) {
-  const bool may = core_.budget.tryRepeat(service_);
+  const bool is_allowed = core_.budget.tryAcquireRetry(service_);
   core_.log.event("repeat", now)
       .with("request", facts_.attempt_id)
       .with("service", service_.value())
-      .with("done", may ? "true" : "false")
+      .with("done", is_allowed ? "true" : "false")
       .with("left", static_cast<int64_t>(core_.budget.left(service_)));
-  return may;
+  return is_allowed;
 }
 
 bool Exchange::chooseTarget() {
   const absl::Time now = reactor::steadyNow();
   engine_.reset();
   server_ = nullptr;
-  return core_.rollouts != nullptr ? chooseAmongVersions(now)
-                                   : chooseAmong(core_.directory.ofService(service_), now);
+  return core_.rollouts != nullptr ? chooseServerByVersion(now)
+                                   : chooseServerAmong(core_.directory.ofService(service_), now);
 }
 
-bool Exchange::chooseAmong(const Servers& servers, absl::Time now) {
+bool Exchange::chooseServerAmong(const Servers& servers, absl::Time now) {
   const forwarding::Service* const service = configuration_->findService(service_);
   const bool is_engine = service != nullptr && service->engine.has_value() && !facts_.model.empty();
   return is_engine ? chooseEngine(servers, now) : choosePlainServer(servers, now);
@@ -200,32 +200,33 @@
 
 void Exchange::sendAttempt() {
   attempt_began_ = reactor::steadyNow();
-  rates_asked_ = 0;
+  rates_requested_ = 0;
   verdict_ = Verdict::kBroken;
-  answer_ = HttpHead();
+  response_head_ = HttpHead();
   has_failure_ = false;
-  keeps_answer_ = true;
-  kept_body_.clear();
+  is_buffering_ = true;
+  buffered_body_.clear();
   events_ = {};
-  // What gives way waits behind all others: to them it is no work until it has begun.
-  is_read_ = false;
-  attempt_piece_ = absl::InfinitePast();
+  // A request that yields queues behind all others, so it adds no load for them until it starts.
+  is_prompt_read_ = false;
+  attempt_last_piece_ = absl::InfinitePast();
   attempt_pieces_ = 0;
-  attempt_pause_ = absl::ZeroDuration();
-  gives_way_ = engine_ && isForetoldLate();
-  if (gives_way_ && place_) {
-    core_.occupancy->release(*std::exchange(place_, std::nullopt));
+  attempt_longest_pause_ = absl::ZeroDuration();
+  yields_ = engine_ && isPredictedLate();
+  if (yields_ && reservation_) {
+    core_.occupancy->release(*std::exchange(reservation_, std::nullopt));
   }
   counted_ =
-      gives_way_ ? forwarding::ServerLoad() : forwarding::ServerLoad{1, engine_ ? engine_->read_tokens : 0};
-  if (ledger_.wouldRepeat()) {
+      yields_ ? forwarding::ServerLoad() : forwarding::ServerLoad{1, engine_ ? engine_->uncached_tokens : 0};
+  if (ledger_.isNextRetry()) {
     core_.metrics.countRetry();
-    if (head_passed_) {
+    if (is_head_forwarded_) {
       core_.metrics.countResumed();
     }
   }
   if (engine_) {
-    core_.metrics.countPromptTokens(engine_->cached_tokens, engine_->fetched_tokens, engine_->read_tokens);
+    core_.metrics.countPromptTokens(engine_->cached_tokens, engine_->fetched_tokens,
+                                    engine_->uncached_tokens);
   }
   server_->back_pressure->noteSent(attempt_began_);
   server_->own.running += counted_.running;
@@ -243,11 +244,11 @@
     send.last_event_id = absl::StrCat(*last_event_);
   }
   if (engine_) {
-    send.urgency = levelAtEngine();
+    send.urgency = enginePriority();
     send.cache_salt = engine_->salt;
     send.weights_version = engine_->version;
-    send.memory_source = engine_->memory_source;
-    send.memory_target = engine_->memory_target;
+    send.cache_source = engine_->cache_source;
+    send.cache_target = engine_->cache_target;
   }
   HeaderFields fields = core_.dialect->fieldsForServer(head_, send);
   if (!body_.empty() || findField(head_.fields, "Content-Length") != nullptr ||
@@ -261,7 +262,7 @@
   request.wants_fresh_connection = !route_->mayRunAgain();
   tried_.push_back(server_->identity_hash);
   is_at_server_ = true;
-  core_.crashes->noteSent(identity_);
+  core_.crash_detector->noteSent(identity_);
   noteRolloutSent();
   attempt_ = pool_.start(server_, std::move(request), this);
 }
@@ -273,28 +274,29 @@
 
 void Exchange::onNeverSent() {
   const auto self = shared_from_this();
-  endAttempt(AttemptEnd::kNeverSent);
+  endAttempt(AttemptOutcome::kNeverSent);
 }
 
-void Exchange::endAttempt(AttemptEnd end) {
+void Exchange::endAttempt(AttemptOutcome end) {
   core_.metrics.countAttempt(end);
   core_.log.event("attempt_ended", reactor::steadyNow())
       .with("request", facts_.attempt_id)
       .with("server", server_->entry.id)
       .with("same_as", forwarding::printIdentity(identity_))
       .with("end", static_cast<int64_t>(end))
-      .with("status", answer_.status)
+      .with("status", response_head_.status)
       .with("after_ms", reactor::steadyNow() - attempt_began_);
   releaseServer();
   attempt_.reset();
-  ledger_.noteEnd(end);
-  has_failure_ = end == AttemptEnd::kFailed && !head_passed_ && !forwarding::promisesNotRun(answer_.status);
-  const bool is_cut = head_passed_ && !(route_->kind == RepeatKind::kStream && route_->is_resumable);
-  if (done_ || sink_ == nullptr) {
+  ledger_.noteOutcome(end);
+  has_failure_ = end == AttemptOutcome::kFailed && !is_head_forwarded_ &&
+                 !forwarding::promisesNotRun(response_head_.status);
+  const bool is_cut = is_head_forwarded_ && !(route_->kind == RepeatKind::kStream && route_->is_resumable);
+  if (is_done_ || sink_ == nullptr) {
     complete("caller_left");
     return;
   }
-  if (!is_cut && ledger_.mayTryAgain()) {
+  if (!is_cut && ledger_.mayRetry()) {
     tryNext();
     return;
   }
@@ -303,15 +305,15 @@
 
 void Exchange::releaseServer() {
   settleRollout();
-  settleRate();
+  releaseRate();
   if (std::exchange(is_at_server_, false)) {
-    core_.crashes->noteOver(identity_);
+    core_.crash_detector->noteOver(identity_);
   }
-  if (place_question_) {
-    core_.occupancy->forget(*std::exchange(place_question_, std::nullopt));
+  if (pending_reservation_) {
+    core_.occupancy->cancel(*std::exchange(pending_reservation_, std::nullopt));
   }
-  if (place_) {
-    core_.occupancy->release(*std::exchange(place_, std::nullopt), longestPauseNow());
+  if (reservation_) {
+    core_.occupancy->release(*std::exchange(reservation_, std::nullopt), longestPauseNow());
   }
   if (server_ == nullptr) {
     return;
@@ -321,12 +323,12 @@
   counted_ = {};
 }
 
-void Exchange::outOfTime() {
-  if (done_) {
+void Exchange::onDeadline() {
+  if (is_done_) {
     return;
   }
-  const bool was_sent = ledger_.wouldRepeat();
-  noteRolloutEnd(RolloutExchange::End::kFailed);
+  const bool was_sent = ledger_.isNextRetry();
+  noteRolloutEnd(RolloutExchange::AttemptOutcome::kFailed);
   attempt_.reset();
   releaseServer();
   if (!was_sent) {
@@ -338,22 +340,22 @@
 
 void Exchange::giveUp(bool out_of_time, std::string_view why) {
   if (has_failure_) {
-    passKeptAnswer();
+    forwardBufferedBody();
     complete("failure_passed_on");
     return;
   }
-  if (head_passed_) {
-    core_.metrics.countCut();
+  if (is_head_forwarded_) {
+    core_.metrics.countTruncated();
     if (sink_ != nullptr) {
-      std::exchange(sink_, nullptr)->cut();
+      std::exchange(sink_, nullptr)->truncate();
     }
     complete(why);
     return;
   }
-  refuse(ledger_.finalStatus(out_of_time), why, retryAfter());
+  reject(ledger_.finalStatus(out_of_time), why, retryAfter());
 }
 
-void Exchange::refuse(int status, std::string_view why, absl::Duration retry_after) {
+void Exchange::reject(int status, std::string_view why, absl::Duration retry_after) {
   if (sink_ != nullptr) {
     const std::string body = absl::StrCat("{\"error\":\"", std::string(why), "\"}\n");
     HeaderFields fields = {{"Content-Type", "application/json"}};
@@ -379,69 +381,69 @@
 }
 
 void Exchange::complete(std::string_view outcome) {
-  if (done_) {
+  if (is_done_) {
     return;
   }
-  done_ = true;
+  is_done_ = true;
   core_.timers.cancel(deadline_timer_);
   core_.timers.cancel(crash_timer_);
-  settleQuota();
+  releaseQuota();
   settleRollout();
   const absl::Time now = reactor::steadyNow();
   core_.metrics.countRequest(route_ == nullptr ? std::nullopt : std::optional(route_->kind), outcome);
-  core_.metrics.observeAnswer(now - began_);
+  core_.metrics.observeResponse(now - began_);
   auto line = core_.log.event("request", now);
   line.with("request", facts_.attempt_id)
       .with("route", route_ == nullptr ? "" : route_->name)
       .with("tenant", tenant_ == nullptr ? "" : tenant_->id.value())
       .with("outcome", outcome)
-      .with("status", answer_.status)
+      .with("status", response_head_.status)
       .with("server", server_ == nullptr ? "" : server_->entry.id)
       .with("tries", static_cast<int64_t>(tried_.size()))
       .with("configuration", configurationVersion())
       .with("configuration_age_ms", configuration_age_)
       .with("took_ms", now - began_);
   if (is_quota_decided_) {
-    line.with("keeper", quota_keeper_.value()).with("quota_ms", quota_took_);
+    line.with("keeper", quota_owner_.value()).with("quota_ms", quota_wait_);
   }
   if (engine_ && first_piece_ != absl::InfiniteFuture()) {
-    core_.metrics.observeForecast(route_->name, first_piece_ - began_ - foretold_first_);
+    core_.metrics.observeForecast(route_->name, first_piece_ - began_ - predicted_first_piece_);
   }
   if (first_piece_ != absl::InfiniteFuture()) {
     line.with("first_ms", first_piece_ - began_).with("pause_ms", longest_pause_);
   }
   if (engine_) {
     line.with("foretold_pause_ms", engine_->pause);
-    line.with("foretold_ms", foretold_first_).with("gives_way", gives_way_ ? "true" : "false");
+    line.with("foretold_ms", predicted_first_piece_).with("gives_way", yields_ ? "true" : "false");
     line.with("weights", static_cast<int64_t>(engine_->version.value()))
         .with("kept", static_cast<int64_t>(engine_->cached_tokens))
         .with("moved", static_cast<int64_t>(engine_->fetched_tokens))
-        .with("read", static_cast<int64_t>(engine_->read_tokens))
+        .with("read", static_cast<int64_t>(engine_->uncached_tokens))
         .with("shared", static_cast<int64_t>(engine_->shared_tokens));
   }
-  AnswerSink* const sink = std::exchange(sink_, nullptr);
+  ResponseSink* const sink = std::exchange(sink_, nullptr);
   if (sink != nullptr) {
     sink->finish();
   }
   keep_alive_ = nullptr;
 }
 
-void Exchange::callerLeft() {
+void Exchange::onCallerDisconnected() {
   const auto self = shared_from_this();
   sink_ = nullptr;
   const bool may_break_off = route_ == nullptr || route_->kind != RepeatKind::kOnce ||
-                             quota_question_.has_value() || place_question_.has_value() ||
-                             rate_question_.has_value() || crash_timer_ != reactor::TimerQueue::Key();
+                             pending_quota_.has_value() || pending_reservation_.has_value() ||
+                             pending_rate_.has_value() || crash_timer_ != reactor::TimerQueue::Key();
   if (may_break_off) {
     attempt_.reset();
     releaseServer();
     complete("caller_left");
-  } else if (!done_) {
+  } else if (!is_done_) {
     keep_alive_ = self;
   }
 }
 
-void Exchange::callerCaughtUp() {
+void Exchange::onCallerDrained() {
   if (attempt_ != nullptr) {
     attempt_->resume();
   }
--- a/src/gateway/gateway_settings.cc
+++ b/src/gateway/gateway_settings.cc
@@ -13,10 +13,10 @@
           .add("home_rank", &PlacementSwitches::home_rank, Presence::kOptional)
           .add("fetch_from_engines", &PlacementSwitches::fetch_from_engines, Presence::kOptional)
           .add("cache_stores", &PlacementSwitches::cache_stores, Presence::kOptional)
-          .add("store_only_unkept", &PlacementSwitches::store_only_unkept, Presence::kOptional)
-          .add("few_candidates", &PlacementSwitches::few_candidates, Presence::kOptional)
-          .add("booked_places", &PlacementSwitches::booked_places, Presence::kOptional)
-          .add("late_gives_way", &PlacementSwitches::late_gives_way, Presence::kOptional)
+          .add("store_only_unkept", &PlacementSwitches::store_only_uncached, Presence::kOptional)
+          .add("few_candidates", &PlacementSwitches::limit_candidates, Presence::kOptional)
+          .add("booked_places", &PlacementSwitches::reserve_slots, Presence::kOptional)
+          .add("late_gives_way", &PlacementSwitches::late_yields, Presence::kOptional)
           .add("late_within_class", &PlacementSwitches::late_within_class, Presence::kOptional)
           .add("learned_speed", &PlacementSwitches::learned_speed, Presence::kOptional)
           .add("home_by_size", &PlacementSwitches::home_by_size, Presence::kOptional));
@@ -81,7 +81,7 @@
 
 namespace {
 
-constexpr const char* kMark = "gateway_id:";
+constexpr const char* kGatewayIdKey = "gateway_id:";
 
 }  // namespace
 
@@ -90,7 +90,8 @@
 }
 
 bool looksLikeGatewaySettings(const std::string& text) {
-  return text.rfind(kMark, 0) == 0 || text.find(std::string("\n") + kMark) != std::string::npos;
+  return text.rfind(kGatewayIdKey, 0) == 0 ||
+         text.find(std::string("\n") + kGatewayIdKey) != std::string::npos;
 }
 
 }  // namespace quincewick::gateway
--- a/src/gateway/rollout_exchange.cc
+++ b/src/gateway/rollout_exchange.cc
@@ -16,10 +16,10 @@
 using forwarding::ServiceName;
 using staged_rollout::KnownRecord;
 using staged_rollout::RolloutStage;
-using staged_rollout::Side;
+using staged_rollout::Variant;
 
-constexpr absl::Duration kTick = absl::Milliseconds(100);
-constexpr absl::Duration kTellEvery = absl::Milliseconds(500);
+constexpr absl::Duration kTickInterval = absl::Milliseconds(100);
+constexpr absl::Duration kAccountInterval = absl::Milliseconds(500);
 
 }  // namespace
 
@@ -28,11 +28,12 @@
       peers_(peers),
       refused_records_(core, kTable),
       refused_requests_(core, core.dialect->tables().configuration),
-      life_(absl::Uniform<uint64_t>(core.random, 1, std::numeric_limits<uint64_t>::max())) {}
+      incarnation_(absl::Uniform<uint64_t>(core.random, 1, std::numeric_limits<uint64_t>::max())) {}
 
 void RolloutExchange::start() {
-  peers_.setTaker(peer::PeerModule::kStagedRollouts,
-                  [this](const NodeId& from, std::string_view payload) { return take(from, payload); });
+  peers_.setMessageHandler(
+      peer::PeerModule::kStagedRollouts,
+      [this](const NodeId& from, std::string_view payload) { return handleMessage(from, payload); });
   tick();
 }
 
@@ -45,12 +46,12 @@
     }
     if (state.gate.isRunning()) {
       noteConfirmed(state);
-      if (now - state.told >= kTellEvery) {
-        tellAccount(service, state, now);
+      if (now - state.account_sent_at >= kAccountInterval) {
+        sendAccount(service, state, now);
       }
     }
   }
-  core_.timers.schedule(now + kTick, [this] { tick(); });
+  core_.timers.schedule(now + kTickInterval, [this] { tick(); });
 }
 
 void RolloutExchange::addServices() {
@@ -65,7 +66,7 @@
 }
 
 RolloutExchange::ServiceState& RolloutExchange::stateOf(const ServiceName& service) {
-  return services_.try_emplace(service, staged_rollout::GateSettings{core_.settings.rollout_share})
+  return services_.try_emplace(service, staged_rollout::TrafficSplitterSettings{core_.settings.rollout_share})
       .first->second;
 }
 
@@ -74,8 +75,8 @@
                      [](const auto& entry) { return entry.second.gate.isRunning(); });
 }
 
-void RolloutExchange::takeOperatorsRow(const forwarding::StoreRow& row) {
-  staged_rollout::OperatorsRow taken;
+void RolloutExchange::handleOperatorRow(const forwarding::StoreRow& row) {
+  staged_rollout::OperatorRequestRow taken;
   taken.row = row.version;
   taken.is_gone = row.is_gone;
   taken.seen = core_.storeClock(reactor::steadyNow()).value_or(absl::ZeroDuration());
@@ -102,25 +103,26 @@
   state.operators_row = std::move(taken);
 }
 
-void RolloutExchange::takeRecords(const forwarding::TableNews& news) {
+void RolloutExchange::handleRecords(const forwarding::TableUpdate& news) {
   for (const forwarding::StoreRow& row : news.rows) {
-    takeRecord(row, news.as_of);
+    applyRecord(row, news.as_of);
   }
   for (auto& [service, state] : services_) {
     state.gate.confirmRecord(news.as_of);
   }
-  knows_records_ = knows_records_ || news.is_whole;
+  has_records_ = has_records_ || news.is_whole;
 }
 
-void RolloutExchange::takeRecord(const forwarding::StoreRow& row, absl::Time as_of) {
+void RolloutExchange::applyRecord(const forwarding::StoreRow& row, absl::Time as_of) {
   if (row.is_gone) {
-    refused_records_.note(row.key, "a record went that nobody removes: what it said holds on");
+    refused_records_.note(row.key, "the record was removed; its last state stays in force");
     return;
   }
   const auto record = staged_rollout::decodeRecord(row.value);
   const bool is_sound = record.has_value() && record.value().service.value() == row.key;
   if (!is_sound) {
-    refused_records_.note(row.key, record.has_error() ? record.error().message : "it is of another service");
+    refused_records_.note(
+        row.key, record.has_error() ? record.error().message : "the record belongs to another service");
     return;
   }
   refused_records_.forget(row.key);
@@ -130,7 +132,7 @@
   noteChange(before ? &*before : nullptr, state, "row");
 }
 
-void RolloutExchange::takeNotice(const NodeId& from, const staged_rollout::RolloutNotice& notice) {
+void RolloutExchange::handleNotice(const NodeId& from, const staged_rollout::RolloutNotice& notice) {
   ServiceState& state = stateOf(notice.known.record.service);
   const std::optional<KnownRecord> before = state.gate.known();
   state.gate.takeNotice(notice, reactor::steadyNow());
@@ -145,7 +147,7 @@
   if (before != nullptr && before->row == known.row) {
     return;
   }
-  state.account_of = known.record.request_row;
+  state.account_request_row = known.record.request_row;
   if (before == nullptr || !known.record.isSameRollout(before->record)) {
     state.account = {};
   }
@@ -155,7 +157,7 @@
       .with("base", known.record.base.value())
       .with("target", known.record.target.value())
       .with("share_percent", static_cast<int64_t>(std::lround(known.record.share * 100)))
-      .with("bad_answers", static_cast<int64_t>(known.record.bad_answers))
+      .with("bad_answers", static_cast<int64_t>(known.record.bad_responses))
       .with("fence", static_cast<int64_t>(known.record.fence.value()))
       .with("by", by);
   noteConfirmed(state);
@@ -163,12 +165,12 @@
 
 void RolloutExchange::noteConfirmed(ServiceState& state) {
   const KnownRecord& known = *state.gate.known();
-  const auto running = state.under_way.find(known.record.base);
-  const bool is_empty = running == state.under_way.end() || running->second == 0;
+  const auto running = state.attempts_in_progress.find(known.record.base);
+  const bool is_empty = running == state.attempts_in_progress.end() || running->second == 0;
   const bool confirms = known.record.stage == RolloutStage::kFinishing && is_empty;
   if (confirms && state.confirmed_row != known.row) {
     state.confirmed_row = known.row;
-    tellAccount(known.record.service, state, reactor::steadyNow());
+    sendAccount(known.record.service, state, reactor::steadyNow());
   }
 }
 
@@ -176,32 +178,32 @@
   const ServiceState& state = stateOf(service);
   RolloutAccount account;
   account.service = service;
-  account.request_row = state.account_of;
-  account.life = life_;
+  account.request_row = state.account_request_row;
+  account.incarnation = incarnation_;
   account.confirmed_row = state.confirmed_row;
   account.counts = state.account;
   return account;
 }
 
-void RolloutExchange::tellAccount(const ServiceName& service, ServiceState& state, absl::Time now) {
-  state.told = now;
+void RolloutExchange::sendAccount(const ServiceName& service, ServiceState& state, absl::Time now) {
+  state.account_sent_at = now;
   const RolloutAccount account = accountOf(service);
-  take_account_(core_.settings.gateway_id, account);
+  account_handler_(core_.settings.gateway_id, account);
   if (state.decider.empty() || state.decider == core_.settings.gateway_id) {
     return;
   }
-  for (const RolloutAccount& part : cutIntoDatagrams(account)) {
+  for (const RolloutAccount& part : splitIntoDatagrams(account)) {
     peers_.sendTo(state.decider, peer::PeerModule::kStagedRollouts,
                   encodeRolloutMessage({std::nullopt, part}));
   }
 }
 
-Result<void> RolloutExchange::take(const NodeId& from, std::string_view payload) {
+Result<void> RolloutExchange::handleMessage(const NodeId& from, std::string_view payload) {
   BOOST_OUTCOME_TRY(message, decodeRolloutMessage(payload));
   if (message.notice) {
-    takeNotice(from, *message.notice);
+    handleNotice(from, *message.notice);
   } else {
-    take_account_(from, *message.account);
+    account_handler_(from, *message.account);
   }
   return outcome::success();
 }
@@ -215,19 +217,19 @@
   return versions;
 }
 
-std::optional<SoftwareVersion> RolloutExchange::choose(const Asked& asked) {
-  ServiceState& state = stateOf(asked.service);
+std::optional<SoftwareVersion> RolloutExchange::choose(const VersionRequest& request) {
+  ServiceState& state = stateOf(request.service);
   if (!state.gate.known()) {
-    state.gate.noteListed(listedVersions(asked.service));
+    state.gate.noteListed(listedVersions(request.service));
     return state.gate.base();
   }
   const absl::Time now = reactor::steadyNow();
   const absl::Duration clock = core_.storeClock(now).value_or(absl::InfiniteDuration());
   const KnownRecord& known = *state.gate.known();
-  if (asked.is_repeat && state.gate.mayUse(known.record.base, clock, now)) {
+  if (request.is_repeat && state.gate.mayUse(known.record.base, clock, now)) {
     return known.record.base;
   }
-  const auto side = state.gate.choose(hashOf(asked.route), asked.place, clock, now);
+  const auto side = state.gate.choose(hashOf(request.route), request.prompt_position, clock, now);
   if (!side) {
     return std::nullopt;
   }
@@ -235,8 +237,8 @@
   return state.gate.versionOf(*side);
 }
 
-// While a target is watched, its requests go to few of its servers, so that these are loaded as the base's
-// are: a version that is bad only under load is seen so.
+// While the target version is watched, its requests go to only a few of its servers, so that these carry the
+// same load as the baseline's. This exposes a version that fails only under load.
 std::vector<ServerDirectory::ServerPointer> RolloutExchange::serversOf(const ServiceName& service,
                                                                        const SoftwareVersion& version) const {
   std::vector<ServerDirectory::ServerPointer> servers;
@@ -249,16 +251,16 @@
   for (const auto& server : core_.directory.ofService(service)) {
     if (server->entry.software != version) {
       ++others;
-    } else if (!is_watched || server->takesWork(now)) {
+    } else if (!is_watched || server->isEligible(now)) {
       servers.push_back(server);
     }
   }
-  const auto most = static_cast<size_t>(
+  const auto max_servers = static_cast<size_t>(
       std::max(1.0, std::ceil(core_.settings.rollout_share * static_cast<double>(others))));
-  if (is_watched && servers.size() > most) {
+  if (is_watched && servers.size() > max_servers) {
     std::sort(servers.begin(), servers.end(),
               [](const auto& one, const auto& other) { return one->home_hash < other->home_hash; });
-    servers.resize(most);
+    servers.resize(max_servers);
   }
   return servers;
 }
@@ -274,31 +276,31 @@
 }
 
 void RolloutExchange::noteSent(const forwarding::Server& server) {
-  ++stateOf(server.entry.service).under_way[server.entry.software];
+  ++stateOf(server.entry.service).attempts_in_progress[server.entry.software];
 }
 
 void RolloutExchange::noteOver(const forwarding::Server& server, std::string_view route, bool was_crowded,
-                               End end, absl::Duration took) {
+                               AttemptOutcome outcome, absl::Duration took) {
   ServiceState& state = stateOf(server.entry.service);
-  uint32_t& under_way = state.under_way[server.entry.software];
-  under_way -= std::min(under_way, 1U);
+  uint32_t& attempts_in_progress = state.attempts_in_progress[server.entry.software];
+  attempts_in_progress -= std::min(attempts_in_progress, 1U);
   if (!state.gate.isRunning()) {
     return;
   }
   const staged_rollout::RolloutRecord& record = state.gate.known()->record;
   const bool is_target = server.entry.software == record.target;
-  if ((!is_target && server.entry.software != record.base) || end == End::kNothing) {
+  if ((!is_target && server.entry.software != record.base) || outcome == AttemptOutcome::kUncounted) {
     return;
   }
-  const Side side = is_target ? Side::kTarget : Side::kBase;
+  const Variant side = is_target ? Variant::kTarget : Variant::kBaseline;
   const staged_rollout::Stratum stratum{hashOf(route), was_crowded};
-  if (end == End::kAnswered) {
-    state.account.noteAnswer(side, stratum, took);
+  if (outcome == AttemptOutcome::kAnswered) {
+    state.account.noteResponse(side, stratum, took);
   } else {
     state.account.noteFailure(side, stratum);
   }
-  if (side == Side::kBase) {
-    state.gate.noteBaseAnswered(hashOf(route));
+  if (side == Variant::kBaseline) {
+    state.gate.noteBaselineResponse(hashOf(route));
   }
 }
 
--- a/src/gateway/server_list.cc
+++ b/src/gateway/server_list.cc
@@ -12,33 +12,33 @@
 
 ServerList::ServerList(Core& core) : core_(core), refused_(core, core.dialect->tables().servers) {}
 
-void ServerList::take(const forwarding::TableNews& news, absl::Time now) {
+void ServerList::applyUpdate(const forwarding::TableUpdate& update, absl::Time now) {
   const absl::Duration list_was_old = now - core_.servers_as_of;
-  if (news.as_of > core_.servers_as_of) {
-    core_.servers_as_of = news.as_of;
-    lapsed_.noteReading(now);
+  if (update.as_of > core_.servers_as_of) {
+    core_.servers_as_of = update.as_of;
+    lapsed_.noteListRead(now);
   }
   std::vector<std::string> ids;
-  for (const StoreRow& row : news.rows) {
+  for (const StoreRow& row : update.rows) {
     if (row.is_gone) {
       refused_.forget(row.key);
       noteMissing(row.key, now);
     } else {
       ids.push_back(row.key);
-      takeRow(row, list_was_old, now);
+      applyRow(row, list_was_old, now);
     }
   }
-  if (news.is_whole) {
+  if (update.is_whole) {
     for (const std::string& id : core_.directory.missingFrom(ids)) {
       noteMissing(id, now);
     }
-    core_.knows_servers = true;
+    core_.has_server_list = true;
   }
   removeGone(now);
 }
 
-void ServerList::takeRow(const StoreRow& row, absl::Duration list_was_old, absl::Time now) {
-  lapsed_.noteThere(row.key);
+void ServerList::applyRow(const StoreRow& row, absl::Duration list_was_old, absl::Time now) {
+  lapsed_.notePresent(row.key);
   auto read = core_.dialect->readServer(row.key, row.value);
   if (read.has_error()) {
     refuse(row, read.error().message);
@@ -47,7 +47,7 @@
   forwarding::ServerEntry entry = std::move(read.value());
   const bool is_plausible = core_.isPlausibleStart(entry.started);
   if (!is_plausible) {
-    refused_.note(row.key, "its start is in the future: it counts as not told");
+    refused_.note(row.key, "its start time is in the future and is ignored");
     entry.started = absl::InfinitePast();
   }
   const auto known = core_.directory.find(row.key);
@@ -59,22 +59,23 @@
   if (is_plausible && effect != EntryEffect::kOutdated) {
     refused_.forget(row.key);
   }
-  tell(entry, effect, now);
+  logEffect(entry, effect, now);
 }
 
-// What can't be read may be its leaving: nothing new is sent there until it can be. What is believed of its
-// cache holds on, for its life may be the same, and its next heartbeat mends an entry that another spoiled.
+// An unreadable entry may announce that the server leaves, so it gets no new requests until its entry can be
+// read. The assumed contents of its cache are kept: the incarnation may be the same, and the server's next
+// heartbeat repairs an entry that another writer corrupted.
 void ServerList::refuse(const StoreRow& row, const std::string& why) {
   core_.directory.setReadable(row.key, false);
   refused_.note(row.key, why);
 }
 
-void ServerList::tell(const forwarding::ServerEntry& entry, EntryEffect effect, absl::Time now) {
+void ServerList::logEffect(const forwarding::ServerEntry& entry, EntryEffect effect, absl::Time now) {
   switch (effect) {
     case EntryEffect::kKnown:
       return;
     case EntryEffect::kOutdated:
-      refused_.note(entry.id, "it is of an earlier start than the one that is known");
+      refused_.note(entry.id, "it belongs to an earlier incarnation than the known one");
       return;
     case EntryEffect::kNew:
     case EntryEffect::kRestarted:
@@ -92,7 +93,7 @@
   if (server == nullptr) {
     return;
   }
-  if (!server->isLeaving() && lapsed_.mayComeBack(now)) {
+  if (!server->isLeaving() && lapsed_.mayReappear(now)) {
     core_.log.event("server_awaited", now).with("server", server_id);
     lapsed_.await(server_id);
   } else {
@@ -101,10 +102,10 @@
 }
 
 void ServerList::removeGone(absl::Time now) {
-  for (const std::string& id : lapsed_.takeGone(now)) {
+  for (const std::string& id : lapsed_.takeLapsed(now)) {
     remove(id, now);
   }
-  core_.forgetFreedSlots();
+  core_.clearFreedSlots();
 }
 
 void ServerList::remove(const std::string& server_id, absl::Time now) {
--- a/src/http/caller_api.cc
+++ b/src/http/caller_api.cc
@@ -15,12 +15,12 @@
 namespace quincewick::http {
 namespace {
 
-constexpr absl::Duration kReadPatience = absl::Seconds(1);
-constexpr size_t kLongestHeaderValue = 256;
+constexpr absl::Duration kReadTimeout = absl::Seconds(1);
+constexpr size_t kMaxHeaderValueBytes = 256;
 constexpr const char* kJsonType = "application/json";
 constexpr const char* kEventStreamType = "text/event-stream";
 
-// A request with its identity established.
+// The identity of an authenticated request.
 struct CallContext {
   RequestId id;
   TenantId tenant;
@@ -29,7 +29,7 @@
 
 Result<std::string> boundedHeader(const httplib::Request& request, const char* name) {
   std::string value = request.get_header_value(name);
-  if (value.size() > kLongestHeaderValue) {
+  if (value.size() > kMaxHeaderValueBytes) {
     return fail(ErrorCode::kInvalidArgument, std::string("header ") + name + " is too long");
   }
   return value;
@@ -70,12 +70,12 @@
   return !std::holds_alternative<TokenEvent>(event);
 }
 
-// Writes what has come to the caller. Returns false when the caller is gone.
-bool writeEvents(const AnswerHeader& header, const std::vector<StreamEvent>& events,
+// Writes the events to the caller as server-sent events. Returns false if the caller has disconnected.
+bool writeEvents(const ResponseMetadata& metadata, const std::vector<StreamEvent>& events,
                  httplib::DataSink& sink) {
   std::string text;
   for (const StreamEvent& event : events) {
-    text += serverSentEvent(header, event);
+    text += serverSentEvent(metadata, event);
   }
   if (!sink.write(text.data(), text.size())) {
     return false;
@@ -86,15 +86,15 @@
   return true;
 }
 
-void streamAnswer(const AnswerHeader& header, const std::shared_ptr<AnswerReader>& reader,
-                  httplib::Response& response) {
+void streamResponse(const ResponseMetadata& metadata, const std::shared_ptr<ResponseReader>& reader,
+                    httplib::Response& response) {
   response.set_header("Cache-Control", "no-cache");
-  auto provide = [header, reader](size_t /*offset*/, httplib::DataSink& sink) {
-    const std::vector<StreamEvent> events = reader->next(kReadPatience);
+  auto provide = [metadata, reader](size_t /*offset*/, httplib::DataSink& sink) {
+    const std::vector<StreamEvent> events = reader->next(kReadTimeout);
     if (events.empty()) {
       return sink.is_writable();
     }
-    return writeEvents(header, events, sink);
+    return writeEvents(metadata, events, sink);
   };
   auto release = [reader](bool success) {
     if (!success) {
@@ -104,24 +104,25 @@
   response.set_chunked_content_provider(kEventStreamType, provide, release);
 }
 
-void sendWholeAnswer(const AnswerHeader& header, AnswerReader& reader, httplib::Response& response) {
+void sendCompleteResponse(const ResponseMetadata& metadata, ResponseReader& reader,
+                          httplib::Response& response) {
   std::string text;
   while (true) {
-    for (const StreamEvent& event : reader.next(kReadPatience)) {
+    for (const StreamEvent& event : reader.next(kReadTimeout)) {
       if (const auto* token = std::get_if<TokenEvent>(&event)) {
         text += token->text;
       } else if (const auto* end = std::get_if<EndEvent>(&event)) {
-        response.set_content(wholeAnswer(header, text, *end), kJsonType);
+        response.set_content(completeResponseBody(metadata, text, *end), kJsonType);
         return;
       } else {
-        sendError(std::get<CutEvent>(event).error, header.request, response);
+        sendError(std::get<CutEvent>(event).error, metadata.request, response);
         return;
       }
     }
   }
 }
 
-// One instance serves all requests; it holds no state of its own.
+// Request handlers. One instance serves all requests concurrently; it is stateless.
 class CallerApi {
  public:
   explicit CallerApi(CallerBackend& backend) : backend_(backend) {}
@@ -130,27 +131,28 @@
     withCaller(request, response, [&](const CallContext& context) -> Result<void> {
       BOOST_OUTCOME_TRY(completion, parseCompletionRequest(shape, request.body));
       const bool stream = completion.stream;
-      const AnswerHeader header{shape, context.id, completion.model, absl::ToUnixSeconds(context.arrival)};
+      const ResponseMetadata metadata{shape, context.id, completion.model,
+                                      absl::ToUnixSeconds(context.arrival)};
       BOOST_OUTCOME_TRY(call, makeCompletionCall(context, request, std::move(completion)));
       BOOST_OUTCOME_TRY(reader, backend_.complete(call));
       if (stream) {
-        streamAnswer(header, reader, response);
+        streamResponse(metadata, reader, response);
       } else {
-        sendWholeAnswer(header, *reader, response);
+        sendCompleteResponse(metadata, *reader, response);
       }
       return outcome::success();
     });
   }
 
-  // GET /v1/streams/ID with Last-Event-ID: the rest of an answer whose connection broke.
+  // GET /v1/streams/ID with Last-Event-ID: resumes a response whose connection was lost.
   void reconnect(const httplib::Request& request, httplib::Response& response) {
     withCaller(request, response, [&](const CallContext& context) -> Result<void> {
       const RequestId original(request.matches[1].str());
       BOOST_OUTCOME_TRY(last_offset, lastEventId(request, original));
       BOOST_OUTCOME_TRY(reader, backend_.reconnect(original, context.tenant, last_offset));
-      const AnswerHeader header{CompletionShape::kChat, original, ModelName(),
-                                absl::ToUnixSeconds(context.arrival)};
-      streamAnswer(header, reader, response);
+      const ResponseMetadata metadata{CompletionShape::kChat, original, ModelName(),
+                                      absl::ToUnixSeconds(context.arrival)};
+      streamResponse(metadata, reader, response);
       return outcome::success();
     });
   }
@@ -185,7 +187,7 @@
   }
 
  private:
-  // Establishes who calls, runs `handle`, and turns its error into an answer.
+  // Authenticates the caller, runs `handle`, and sends an error response if either fails.
   template <class Handler>
   void withCaller(const httplib::Request& request, httplib::Response& response, Handler handle) {
     CallContext context;
@@ -205,7 +207,7 @@
     }
   }
 
-  // The offset of the last token that the caller holds; nothing: it holds none.
+  // Returns the offset of the last token that the caller received; std::nullopt if it received none.
   static Result<std::optional<uint64_t>> lastEventId(const httplib::Request& request,
                                                      const RequestId& original) {
     const std::string text = request.get_header_value("Last-Event-ID");
@@ -222,7 +224,8 @@
   CallerBackend& backend_;
 };
 
-void sendUnknownPath(const httplib::Request& request, httplib::Response& response) {
+// Gives error responses of the HTTP library (unknown path, oversized body) the API's JSON error body.
+void sendDefaultError(const httplib::Request& request, httplib::Response& response) {
   if (!response.body.empty()) {
     return;
   }
@@ -262,7 +265,7 @@
   server.Get("/metrics", [&backend](const httplib::Request&, httplib::Response& response) {
     response.set_content(backend.metricsText(), "text/plain; version=0.0.4");
   });
-  server.set_error_handler(sendUnknownPath);
+  server.set_error_handler(sendDefaultError);
 }
 
 }  // namespace quincewick::http
--- a/src/http/operator_json.cc
+++ b/src/http/operator_json.cc
@@ -8,13 +8,14 @@
 
 using Json = nlohmann::json;
 
-constexpr size_t kMaximumOperationSize = 128;
+constexpr size_t kMaxOperationIdBytes = 128;
 
 double seconds(absl::Duration duration) {
   return absl::ToDoubleSeconds(duration);
 }
 
-// Runs a reader on a body; whatever it throws becomes one error that names the expected form.
+// Parses `body` and applies `reader` to it. An exception becomes kInvalidArgument with a message that names
+// the expected fields.
 template <class T, class Reader>
 Result<T> readBody(const std::string& body, const char* expected, Reader reader) {
   try {
@@ -28,7 +29,7 @@
 
 OperationId readOperation(const Json& json) {
   const auto text = json.at("operation").get<std::string>();
-  if (text.empty() || text.size() > kMaximumOperationSize) {
+  if (text.empty() || text.size() > kMaxOperationIdBytes) {
     throw std::invalid_argument("operation must have 1 to 128 characters");
   }
   return OperationId(text);
--- a/tests/forwarding/back_pressure_test.cc
+++ b/tests/forwarding/back_pressure_test.cc
@@ -10,72 +10,72 @@
 
 const absl::Time kNow = absl::UnixEpoch() + absl::Hours(1);
 
-TEST_CASE("the longest rest that a server asked for holds, counted from its answer") {
+TEST_CASE("the longest requested back-off holds, counted from its response") {
   BackPressure pressure;
-  CHECK(pressure.noteRest(absl::Seconds(3), kNow));
-  CHECK_FALSE(pressure.noteRest(absl::Seconds(1), kNow + absl::Seconds(1)));
-  CHECK(pressure.rests(kNow + absl::Milliseconds(2999)));
-  CHECK_FALSE(pressure.rests(kNow + absl::Seconds(3)));
-  CHECK(pressure.noteRest(absl::Milliseconds(500), kNow + absl::Milliseconds(2900)));
-  CHECK(pressure.freeAt() == kNow + absl::Milliseconds(3400));
-  CHECK_FALSE(pressure.noteRest(absl::ZeroDuration(), kNow + absl::Seconds(5)));
+  CHECK(pressure.noteBackOff(absl::Seconds(3), kNow));
+  CHECK_FALSE(pressure.noteBackOff(absl::Seconds(1), kNow + absl::Seconds(1)));
+  CHECK(pressure.isBackingOff(kNow + absl::Milliseconds(2999)));
+  CHECK_FALSE(pressure.isBackingOff(kNow + absl::Seconds(3)));
+  CHECK(pressure.noteBackOff(absl::Milliseconds(500), kNow + absl::Milliseconds(2900)));
+  CHECK(pressure.availableAt() == kNow + absl::Milliseconds(3400));
+  CHECK_FALSE(pressure.noteBackOff(absl::ZeroDuration(), kNow + absl::Seconds(5)));
 }
 
-TEST_CASE("a rest is obeyed for a bounded time, whatever its length") {
+TEST_CASE("a back-off period is bounded, whatever the server requests") {
   BackPressure pressure;
-  CHECK(pressure.noteRest(absl::Hours(1'000'000), kNow));
-  CHECK(pressure.rests(kNow + absl::Minutes(4)));
-  CHECK_FALSE(pressure.rests(kNow + absl::Minutes(6)));
+  CHECK(pressure.noteBackOff(absl::Hours(1'000'000), kNow));
+  CHECK(pressure.isBackingOff(kNow + absl::Minutes(4)));
+  CHECK_FALSE(pressure.isBackingOff(kNow + absl::Minutes(6)));
 }
 
-TEST_CASE("after a rest one request goes alone until an answer or a moment has passed") {
+TEST_CASE("after a back-off period one probe is sent until a response comes or the probe time has passed") {
   BackPressure pressure;
-  pressure.noteRest(absl::Seconds(1), kNow);
+  pressure.noteBackOff(absl::Seconds(1), kNow);
   const absl::Time over = kNow + absl::Seconds(1);
-  CHECK(pressure.freeAt() <= over);
+  CHECK(pressure.availableAt() <= over);
   pressure.noteSent(over);
-  CHECK(pressure.freeAt() > over);
-  CHECK(pressure.freeAt() <= over + absl::Milliseconds(250));
-  pressure.noteAnswered(over + absl::Milliseconds(20));
-  CHECK(pressure.freeAt() <= over + absl::Milliseconds(20));
+  CHECK(pressure.availableAt() > over);
+  CHECK(pressure.availableAt() <= over + absl::Milliseconds(250));
+  pressure.noteResponse(over + absl::Milliseconds(20));
+  CHECK(pressure.availableAt() <= over + absl::Milliseconds(20));
   pressure.noteSent(over + absl::Milliseconds(30));
-  CHECK(pressure.freeAt() <= over + absl::Milliseconds(30));
+  CHECK(pressure.availableAt() <= over + absl::Milliseconds(30));
 }
 
-TEST_CASE("an answer to what was sent before a rest doesn't end it") {
+TEST_CASE("a response to a request sent before the back-off period does not end it") {
   BackPressure pressure;
-  pressure.noteRest(absl::Seconds(1), kNow);
-  pressure.noteAnswered(kNow + absl::Milliseconds(10));
-  CHECK(pressure.rests(kNow + absl::Milliseconds(500)));
+  pressure.noteBackOff(absl::Seconds(1), kNow);
+  pressure.noteResponse(kNow + absl::Milliseconds(10));
+  CHECK(pressure.isBackingOff(kNow + absl::Milliseconds(500)));
   pressure.noteSent(kNow + absl::Seconds(1));
-  CHECK(pressure.freeAt() > kNow + absl::Seconds(1));
+  CHECK(pressure.availableAt() > kNow + absl::Seconds(1));
 }
 
-// Answers come in any order, requests go whenever the server may be chosen.
-TEST_CASE("no request is sent during any rest that was asked for, and a server is always free again") {
+// Responses come in any order; requests are sent whenever the server may be chosen.
+TEST_CASE("no request is sent during a requested back-off, and a server always becomes available again") {
   CHECK(rc::check([] {
     BackPressure pressure;
     absl::Time now = kNow;
-    absl::Time rests_until = absl::InfinitePast();
+    absl::Time back_off_until = absl::InfinitePast();
     for (int step = 0; step < 200; ++step) {
       now += absl::Milliseconds(*rc::gen::inRange(0, 400));
       switch (*rc::gen::inRange(0, 4)) {
         case 0: {
-          const absl::Duration rest = absl::Milliseconds(*rc::gen::inRange(0, 4000));
-          pressure.noteRest(rest, now);
-          rests_until = std::max(rests_until, now + rest);
+          const absl::Duration back_off = absl::Milliseconds(*rc::gen::inRange(0, 4000));
+          pressure.noteBackOff(back_off, now);
+          back_off_until = std::max(back_off_until, now + back_off);
           break;
         }
         case 1:
-          pressure.noteAnswered(now);
+          pressure.noteResponse(now);
           break;
         default:
-          if (now >= pressure.freeAt()) {
-            RC_ASSERT(now >= rests_until);
+          if (now >= pressure.availableAt()) {
+            RC_ASSERT(now >= back_off_until);
             pressure.noteSent(now);
           }
       }
-      RC_ASSERT(pressure.freeAt() <= std::max(now, rests_until) + absl::Milliseconds(250));
+      RC_ASSERT(pressure.availableAt() <= std::max(now, back_off_until) + absl::Milliseconds(250));
     }
   }));
 }
--- a/tests/forwarding/confirmation_schedule_test.cc
+++ b/tests/forwarding/confirmation_schedule_test.cc
@@ -9,27 +9,27 @@
 constexpr absl::Duration kInstant = absl::Milliseconds(1);
 const absl::Time kConfirmed = absl::UnixEpoch();
 
-TEST_CASE("a fresh configuration needs no question") {
+TEST_CASE("a recently confirmed configuration needs no request") {
   const ConfirmationSchedule schedule;
   CHECK_FALSE(schedule.isDue(
       kBound, kConfirmed, [] { return true; }, kConfirmed + absl::Seconds(2) - kInstant));
 }
 
-TEST_CASE("the store is asked while there is time for an answer, whoever is heard") {
+TEST_CASE("the store is asked while there is time for a response, whether or not a reader is known") {
   const ConfirmationSchedule schedule;
   const absl::Time due = kConfirmed + absl::Seconds(2);
   CHECK(schedule.isDue(
       kBound, kConfirmed, [] { return true; }, due));
   CHECK(schedule.isDue(
       kBound, kConfirmed, [] { return false; }, due));
-  CHECK(due + ConfirmationSchedule::questionLimit(kBound) <= kConfirmed + kBound);
+  CHECK(due + ConfirmationSchedule::confirmationTimeout(kBound) <= kConfirmed + kBound);
 }
 
-TEST_CASE("after a question without an answer the store is asked soon only if it answers somebody") {
+TEST_CASE("after a request without a response the store is asked again soon only if it responds to others") {
   ConfirmationSchedule schedule;
   const absl::Time asked = kConfirmed + absl::Seconds(2);
-  schedule.noteAsked(asked);
-  const absl::Time soon = asked + ConfirmationSchedule::questionLimit(kBound);
+  schedule.noteRequested(asked);
+  const absl::Time soon = asked + ConfirmationSchedule::confirmationTimeout(kBound);
   CHECK_FALSE(schedule.isDue(
       kBound, kConfirmed, [] { return true; }, soon - kInstant));
   CHECK(schedule.isDue(
@@ -42,9 +42,9 @@
       kBound, kConfirmed, [] { return false; }, asked + kBound));
 }
 
-TEST_CASE("what another confirmed meanwhile needs no question") {
+TEST_CASE("a confirmation received from another gateway needs no request") {
   ConfirmationSchedule schedule;
-  schedule.noteAsked(kConfirmed + absl::Seconds(2));
+  schedule.noteRequested(kConfirmed + absl::Seconds(2));
   const absl::Time newer = kConfirmed + absl::Seconds(4);
   CHECK_FALSE(schedule.isDue(
       kBound, newer, [] { return true; }, newer + absl::Seconds(1)));
--- a/tests/gateway/packed_rows_test.cc
+++ b/tests/gateway/packed_rows_test.cc
@@ -6,7 +6,7 @@
 #include <catch2/catch.hpp>
 
 #include "gateway/relay_messages.h"
-#include "gateway/whole_answers.h"
+#include "gateway/snapshot_limiter.h"
 
 namespace quincewick::gateway {
 namespace {
@@ -31,8 +31,9 @@
          one.is_gone == other.is_gone;
 }
 
-// A whole zone of 200 followers gets it at once: over a link of 200 Mbit/s that may take three seconds.
-TEST_CASE("the rows of 10,000 and of 20,000 servers unpack as they were, and a zone's link carries them") {
+// All 200 followers of a zone may request the rows at once; over a link of 200 Mbit/s that may take 3
+// seconds.
+TEST_CASE("the rows of 10,000 and 20,000 servers survive packing, and fit the link of a zone's reader") {
   for (const int count : {10'000, 20'000}) {
     const auto rows = servers(count);
     const std::string packed = packRows(rows);
@@ -45,24 +46,24 @@
   }
 }
 
-TEST_CASE("an answer is read packed or plain, as the peer's build gives it") {
-  RelayAnswer answer;
-  answer.rows = servers(3);
-  answer.is_whole = true;
-  answer.version = 9;
-  const auto plain = decodeEitherAnswer(encodeRelayAnswer(answer));
+TEST_CASE("packed and plain responses are both decoded, since peers may run an earlier build") {
+  RelayResponse response;
+  response.rows = servers(3);
+  response.is_whole = true;
+  response.version = 9;
+  const auto plain = decodeAnyRelayResponse(encodeRelayResponse(response));
   REQUIRE(plain.has_value());
   CHECK(plain.value().rows.size() == 3);
-  PackedRelayAnswer packed{answer, packRows(answer.rows)};
-  packed.answer.rows.clear();
-  const auto unpacked = decodeEitherAnswer(encodePackedAnswer(packed));
+  PackedRelayResponse packed{response, packRows(response.rows)};
+  packed.response.rows.clear();
+  const auto unpacked = decodeAnyRelayResponse(encodePackedResponse(packed));
   REQUIRE(unpacked.has_value());
   CHECK(unpacked.value().rows.size() == 3);
   CHECK(unpacked.value().version == 9);
   CHECK(unpacked.value().is_whole);
 }
 
-TEST_CASE("whatever bytes come as packed rows, they are read whole or refused") {
+TEST_CASE("arbitrary bytes as packed rows are either unpacked completely or refused") {
   CHECK(rc::check([](const std::string& bytes) { RC_ASSERT(unpackRows(bytes).has_error()); }));
   const std::string packed = packRows(servers(50));
   for (size_t size = 0; size < packed.size(); size += 7) {
@@ -77,19 +78,20 @@
   }));
 }
 
-TEST_CASE("so many followers get a whole table at once, the next when one has it or went") {
-  WholeAnswers answers;
+TEST_CASE(
+    "a limited number of followers get a snapshot at once, and the next one after a delivery or a timeout") {
+  SnapshotLimiter limiter;
   const absl::Time now = absl::FromUnixSeconds(1000);
-  for (size_t number = 0; number < WholeAnswers::kAtOnce; ++number) {
-    CHECK(answers.mayBegin(now));
-    answers.noteSent(NodeId(absl::StrCat("g-", number)), now);
+  for (size_t number = 0; number < SnapshotLimiter::kMaxConcurrent; ++number) {
+    CHECK(limiter.maySend(now));
+    limiter.noteSent(NodeId(absl::StrCat("g-", number)), now);
   }
-  CHECK_FALSE(answers.mayBegin(now));
-  answers.noteAsked(NodeId("g-5"));
-  CHECK(answers.mayBegin(now));
-  answers.noteSent(NodeId("g-new"), now);
-  CHECK_FALSE(answers.mayBegin(now + absl::Seconds(1)));
-  CHECK(answers.mayBegin(now + absl::Seconds(3)));
+  CHECK_FALSE(limiter.maySend(now));
+  limiter.noteDelivered(NodeId("g-5"));
+  CHECK(limiter.maySend(now));
+  limiter.noteSent(NodeId("g-new"), now);
+  CHECK_FALSE(limiter.maySend(now + absl::Seconds(1)));
+  CHECK(limiter.maySend(now + absl::Seconds(3)));
 }
 
 }  // namespace
--- a/tests/prefix/trunk_index_test.cc
+++ b/tests/prefix/prefix_index_test.cc
@@ -1,4 +1,4 @@
-#include "prefix/trunk_index.h"
+#include "prefix/prefix_index.h"
 
 #include <rapidcheck/catch.h>
 #include <catch2/catch.hpp>
@@ -10,8 +10,8 @@
 namespace quincewick::prefix {
 namespace {
 
-constexpr EngineSlot kEngine{3};
-constexpr EngineSlot kOther{5};
+constexpr EngineNumber kEngine{3};
+constexpr EngineNumber kOther{5};
 const absl::Time kStart = absl::FromUnixSeconds(1'000'000);
 
 BlockKey blockNumber(uint64_t number) {
@@ -27,8 +27,8 @@
   return chain;
 }
 
-TrunkView::Holder beliefOf(const TrunkIndex& index, EngineSlot engine, const PrefixChain& chain) {
-  for (const TrunkView::Holder& holder : index.view(chain, kStart).holders) {
+PrefixView::Holder beliefOf(const PrefixIndex& index, EngineNumber engine, const PrefixChain& chain) {
+  for (const PrefixView::Holder& holder : index.view(chain, kStart).holders) {
     if (holder.engine == engine) {
       return holder;
     }
@@ -36,7 +36,7 @@
   return {engine, 0, 0};
 }
 
-// An engine's cache with the log that readers see: some events never appear in it.
+// An engine's cache with its event log, in which some events are missing.
 struct LoggedCache {
   std::set<uint64_t> held;
   std::vector<CacheEvent> log;
@@ -67,17 +67,17 @@
   }
 };
 
-TEST_CASE("what is certain is true under lost, late, repeated and crossed events") {
-  rc::prop("against the cache itself", [] {
+TEST_CASE("certain beliefs are true under lost, late, repeated and reordered events") {
+  rc::prop("compared with the cache itself", [] {
     constexpr uint64_t kBlocks = 12;
-    TrunkIndex index(TrunkIndexSettings{});
+    PrefixIndex index(PrefixIndexSettings{});
     index.reset(kEngine);
     LoggedCache cache;
     std::vector<std::vector<CacheEvent>> batches;
     const auto steps = *rc::gen::inRange(0, 60);
     for (int step = 0; step < steps; ++step) {
       switch (*rc::gen::inRange(0, 6)) {
-        case 0:  // a read in order; it may also be lost on its way or come later
+        case 0:  // a read in order; it may be lost or applied later
           batches.push_back(cache.read(index.resumeAfter(kEngine), *rc::gen::inRange<size_t>(1, 6)));
           break;
         case 1:
@@ -108,7 +108,7 @@
 }
 
 TEST_CASE("a gap makes earlier beliefs doubtful until it is read again") {
-  TrunkIndex index(TrunkIndexSettings{});
+  PrefixIndex index(PrefixIndexSettings{});
   const CacheEvent first{Sequence(1), CacheEventKind::kStored, blockNumber(1)};
   const CacheEvent second{Sequence(2), CacheEventKind::kStored, blockNumber(2)};
   const CacheEvent third{Sequence(3), CacheEventKind::kStored, blockNumber(3)};
@@ -124,8 +124,8 @@
   CHECK(index.resumeAfter(kEngine) == Sequence(3));
 }
 
-TEST_CASE("what a gap that can't be filled has hidden stays doubtful after a later gap is filled") {
-  TrunkIndex index(TrunkIndexSettings{});
+TEST_CASE("beliefs from before an unfilled gap stay doubtful after a later gap is filled") {
+  PrefixIndex index(PrefixIndexSettings{});
   const auto stored = [](uint64_t sequence) {
     return CacheEvent{Sequence(sequence), CacheEventKind::kStored, blockNumber(sequence)};
   };
@@ -140,9 +140,9 @@
   CHECK(beliefOf(index, kEngine, chainOf(3, 3)).certain_blocks == 3);
 }
 
-TEST_CASE("a reset voids all of one engine and nothing of another") {
-  rc::prop("void by incarnation", [] {
-    TrunkIndex index(TrunkIndexSettings{});
+TEST_CASE("a reset voids all beliefs of one engine and none of another") {
+  rc::prop("beliefs are void after a reset", [] {
+    PrefixIndex index(PrefixIndexSettings{});
     const auto count = *rc::gen::inRange<uint32_t>(1, 20);
     index.recordHeld(kEngine, chainOf(0, count), kStart);
     index.recordHeld(kOther, chainOf(0, count), kStart);
@@ -156,8 +156,8 @@
   });
 }
 
-TEST_CASE("an engine is believed to hold the leading run only") {
-  TrunkIndex index(TrunkIndexSettings{});
+TEST_CASE("only the leading run of blocks counts as held by an engine") {
+  PrefixIndex index(PrefixIndexSettings{});
   index.reset(kEngine);
   index.recordHeld(kEngine, chainOf(0, 6), kStart);
   const CacheEvent evicted{Sequence(1), CacheEventKind::kEvicted, blockNumber(3)};
@@ -165,10 +165,10 @@
   CHECK(beliefOf(index, kEngine, chainOf(0, 6)).certain_blocks == 3);
 }
 
-TEST_CASE("the number of blocks is bounded, and hot trunks outlive a flood of cold blocks") {
-  TrunkIndexSettings settings;
+TEST_CASE("the number of blocks is bounded, and hot prefixes survive a flood of cold blocks") {
+  PrefixIndexSettings settings;
   settings.maximum_blocks = 256;
-  TrunkIndex index(settings);
+  PrefixIndex index(settings);
   const PrefixChain hot = chainOf(0, 16);
   for (uint64_t round = 0; round < 200; ++round) {
     index.observe(hot, kStart + absl::Milliseconds(100) * round);
@@ -181,23 +181,23 @@
 }
 
 TEST_CASE("requests are counted by block and decay") {
-  TrunkIndex index(TrunkIndexSettings{});
-  const absl::Duration half_life = TrunkIndexSettings{}.half_life;
+  PrefixIndex index(PrefixIndexSettings{});
+  const absl::Duration half_life = PrefixIndexSettings{}.half_life;
   for (int request = 0; request < 8; ++request) {
     index.observe(chainOf(0, 2), kStart);
   }
-  const TrunkView now = index.observe(chainOf(0, 3), kStart);
+  const PrefixView now = index.observe(chainOf(0, 3), kStart);
   CHECK(now.requests == std::vector<float>{8, 8, 0});
   CHECK(now.all_requests == 8);
-  const TrunkView later = index.view(chainOf(0, 3), kStart + half_life);
+  const PrefixView later = index.view(chainOf(0, 3), kStart + half_life);
   CHECK(later.requests[0] == Approx(4.5).epsilon(0.01));
   CHECK(later.requests[2] == Approx(0.5).epsilon(0.01));
 }
 
-TEST_CASE("a sampled index keeps its share and still sees how deep an engine's run goes") {
-  TrunkIndexSettings settings;
+TEST_CASE("a sampled index keeps its fraction of the blocks and still finds the length of an engine's run") {
+  PrefixIndexSettings settings;
   settings.sampling = 4;
-  TrunkIndex index(settings);
+  PrefixIndex index(settings);
   const PrefixChain chain = chainOf(0, 400);
   index.recordHeld(kEngine, chain, kStart);
   CHECK(index.size() > 60);
--- a/tests/soak/engines.h
+++ b/tests/soak/engines.h
@@ -1,5 +1,5 @@
-// Servers whose weights gateways bring to the version that the operator names. They carry out orders and take
-// note of each; they check no fence, as engines needn't.
+// Stand-in engines whose weights gateways bring to the version that the operator sets. They execute and
+// record weight-loading orders. They don't check fencing tokens, as engines needn't.
 #pragma once
 
 #include <absl/time/time.h>
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "history.h"
-#include "reactor/plain_server.h"
+#include "reactor/simple_http_server.h"
 #include "reactor/timer_queue.h"
 #include "store.h"
 
@@ -21,21 +21,21 @@
  public:
   static constexpr const char* kService = "engines";
 
-  // They are in the store's list when this returns.
+  // The engines are listed in the store when this returns.
   Engines(boost::asio::io_context& reactor, reactor::TimerQueue& timers, History& history, Store& store,
           size_t zones);
   ~Engines();
   Engines(const Engines&) = delete;
   Engines& operator=(const Engines&) = delete;
 
-  // The operator names the version after the last one.
-  void nameWeights();
+  // Publishes the next version of the weights, as the operator does.
+  void publishNextVersion();
 
  private:
   class Engine;
 
   Store& store_;
-  uint64_t named_version_ = 1;
+  uint64_t target_version_ = 1;
   std::vector<std::unique_ptr<Engine>> engines_;
 };
 
--- a/tests/soak/soak_main.cc
+++ b/tests/soak/soak_main.cc
@@ -1,4 +1,5 @@
-// Faults on real processes, promises checked from what callers and back ends saw. See docs/RELIABILITY.md.
+// Injects faults into real processes and checks promises on what callers and back ends recorded. See
+// docs/RELIABILITY.md.
 #include <absl/strings/numbers.h>
 #include <absl/strings/str_cat.h>
 #include <absl/strings/str_split.h>
@@ -16,9 +17,9 @@
 namespace quincewick::soak {
 namespace {
 
-constexpr int kKept = 0;
-constexpr int kBroken = 1;
-constexpr int kUsage = 2;
+constexpr int kExitKept = 0;
+constexpr int kExitBroken = 1;
+constexpr int kExitUsage = 2;
 
 struct Options {
   RunSettings run;
@@ -43,37 +44,39 @@
   }
 };
 
-Outcome play(const Options& options, const Schedule& schedule) {
+Outcome runSchedule(const Options& options, const Schedule& schedule) {
   std::filesystem::create_directories(options.run.folder);
   Outcome outcome{schedule, runSite(options.run, schedule), {}};
   outcome.promises = checkPromises(outcome.history, options.run.bounds, options.timed);
   return outcome;
 }
 
-size_t countEnds(const History& history, RequestEnd end) {
-  return static_cast<size_t>(std::count_if(history.requests.begin(), history.requests.end(),
-                                           [end](const Request& request) { return request.end == end; }));
+size_t countOutcomes(const History& history, RequestOutcome outcome) {
+  return static_cast<size_t>(
+      std::count_if(history.requests.begin(), history.requests.end(),
+                    [outcome](const Request& request) { return request.outcome == outcome; }));
 }
 
 void printText(const Options& options, const Outcome& outcome) {
   const History& history = outcome.history;
-  const auto served = std::count_if(
-      history.requests.begin(), history.requests.end(),
-      [](const Request& request) { return request.end == RequestEnd::kAnswered && request.status == 200; });
+  const auto served =
+      std::count_if(history.requests.begin(), history.requests.end(), [](const Request& request) {
+        return request.outcome == RequestOutcome::kCompleted && request.status == 200;
+      });
   std::cout << "seed " << options.run.seed << ": " << outcome.schedule.size() << " faults, "
             << history.requests.size() << " requests, " << served << " served, "
-            << countEnds(history, RequestEnd::kAnswered) - static_cast<size_t>(served)
-            << " refused or failed, " << countEnds(history, RequestEnd::kCut) << " cut, "
-            << countEnds(history, RequestEnd::kUnsent) << " without a connection, "
-            << countEnds(history, RequestEnd::kLeft) << " left; " << history.arrivals.size() << " arrivals, "
-            << history.orders.size() << " orders; serves all again after "
+            << countOutcomes(history, RequestOutcome::kCompleted) - static_cast<size_t>(served)
+            << " refused or failed, " << countOutcomes(history, RequestOutcome::kConnectionLost) << " cut, "
+            << countOutcomes(history, RequestOutcome::kUnsent) << " without a connection, "
+            << countOutcomes(history, RequestOutcome::kAbandoned) << " left; " << history.arrivals.size()
+            << " arrivals, " << history.orders.size() << " orders; serves all again after "
             << absl::FormatDuration(history.recovery) << "\n";
   for (const PromiseResult& result : outcome.promises) {
     if (!result.violations.empty()) {
       std::cout << "BROKEN " << result.promise << ": " << result.violations.size() << " of " << result.checks
                 << "; logs in " << options.run.folder << "\n";
       for (size_t index = 0; index < std::min<size_t>(result.violations.size(), 3); ++index) {
-        std::cout << "  " << result.violations[index].what;
+        std::cout << "  " << result.violations[index].description;
         for (const std::string& attempt : result.violations[index].attempts) {
           std::cout << ", " << attempt;
         }
@@ -96,7 +99,7 @@
   for (const PromiseResult& result : outcome.promises) {
     nlohmann::json violations = nlohmann::json::array();
     for (const Violation& violation : result.violations) {
-      violations.push_back({{"what", violation.what}, {"attempts", violation.attempts}});
+      violations.push_back({{"what", violation.description}, {"attempts", violation.attempts}});
     }
     report["promises"].push_back(
         {{"promise", result.promise}, {"checks", result.checks}, {"violations", violations}});
@@ -104,16 +107,16 @@
   std::cout << report.dump(2) << "\n";
 }
 
-// Drops faults one by one while the same promise still breaks.
+// Removes faults one by one as long as the same promise is still broken.
 Outcome shrink(const Options& options, Outcome outcome) {
   const std::string promise = outcome.broken().front();
   for (size_t index = 0; index < outcome.schedule.size();) {
     Schedule fewer = outcome.schedule;
     fewer.erase(fewer.begin() + static_cast<std::ptrdiff_t>(index));
-    Outcome tried = play(options, fewer);
-    const std::vector<std::string> broken = tried.broken();
+    Outcome candidate = runSchedule(options, fewer);
+    const std::vector<std::string> broken = candidate.broken();
     if (std::find(broken.begin(), broken.end(), promise) != broken.end()) {
-      outcome = std::move(tried);
+      outcome = std::move(candidate);
     } else {
       ++index;
     }
@@ -121,8 +124,8 @@
   return outcome;
 }
 
-int playAndReport(const Options& options, const Schedule& schedule) {
-  Outcome outcome = play(options, schedule);
+int runAndReport(const Options& options, const Schedule& schedule) {
+  Outcome outcome = runSchedule(options, schedule);
   if (options.shrinks && !outcome.broken().empty()) {
     outcome = shrink(options, std::move(outcome));
   }
@@ -132,7 +135,7 @@
     printText(options, outcome);
   }
   std::cout.flush();
-  return outcome.broken().empty() ? kKept : kBroken;
+  return outcome.broken().empty() ? kExitKept : kExitBroken;
 }
 
 std::string readFile(const std::string& path) {
@@ -143,21 +146,22 @@
 }
 
 cxxopts::Options describeOptions() {
-  cxxopts::Options options("soak", "Faults on real gateway processes, promises checked");
+  cxxopts::Options options("soak", "Injects faults into real gateway processes and checks promises");
   options.add_options()                                                                                //
       ("program", "the built quincewick", cxxopts::value<std::string>())                               //
       ("folder", "for settings and logs", cxxopts::value<std::string>()->default_value("build/soak"))  //
-      ("seed", "the first one", cxxopts::value<uint64_t>()->default_value("1"))                        //
-      ("seeds", "how many, by rising numbers", cxxopts::value<uint64_t>()->default_value("1"))         //
-      ("duration", "of the faults, such as 20s", cxxopts::value<std::string>()->default_value("20s"))  //
-      ("gateways", "in three zones", cxxopts::value<uint32_t>()->default_value("6"))                   //
-      ("callers", "with a connection each", cxxopts::value<uint32_t>()->default_value("36"))           //
-      ("store-goes-back", "also draw that the store is restored, and faults of the giver of orders")   //
-      ("no-era", "the store doesn't tell when it went back")                                           //
-      ("timed", "also check promises that say how soon")                                               //
-      ("output", "text or json", cxxopts::value<std::string>()->default_value("text"))                 //
-      ("replay", "a file with a schedule", cxxopts::value<std::string>())                              //
-      ("shrink", "drop faults while the same promise breaks")("help", "this text");
+      ("seed", "the first seed", cxxopts::value<uint64_t>()->default_value("1"))                       //
+      ("seeds", "how many consecutive seeds", cxxopts::value<uint64_t>()->default_value("1"))          //
+      ("duration", "how long faults are injected, such as 20s",
+       cxxopts::value<std::string>()->default_value("20s"))                                             //
+      ("gateways", "how many, in three zones", cxxopts::value<uint32_t>()->default_value("6"))          //
+      ("callers", "how many, with a connection each", cxxopts::value<uint32_t>()->default_value("36"))  //
+      ("store-goes-back", "also draw restores of the store and faults of the order lease's holder")     //
+      ("no-era", "the store doesn't report restores")                                                   //
+      ("timed", "also check promises with a time limit")                                                //
+      ("output", "text or json", cxxopts::value<std::string>()->default_value("text"))                  //
+      ("replay", "a file with a schedule", cxxopts::value<std::string>())                               //
+      ("shrink", "remove faults while the same promise is still broken")("help", "this text");
   return options;
 }
 
@@ -171,18 +175,18 @@
                          parsed["gateways"].as<uint32_t>() > 0;
   if (parsed.count("help") > 0 || !is_usable) {
     std::cout << described.help() << "\n";
-    return parsed.count("help") > 0 ? kKept : kUsage;
+    return parsed.count("help") > 0 ? kExitKept : kExitUsage;
   }
   options.run.program = parsed["program"].as<std::string>();
   options.run.length = length;
   options.run.gateways = parsed["gateways"].as<uint32_t>();
   options.run.callers = parsed["callers"].as<uint32_t>();
   options.timed = parsed.count("timed") > 0;
-  options.run.reloads_early = options.timed;
-  options.run.store_tells_era = parsed.count("no-era") == 0;
+  options.run.reloads_during_startup = options.timed;
+  options.run.store_sends_era = parsed.count("no-era") == 0;
   options.json = parsed["output"].as<std::string>() == "json";
   options.shrinks = parsed.count("shrink") > 0;
-  int worst = kKept;
+  int exit_code = kExitKept;
   const uint64_t first = parsed["seed"].as<uint64_t>();
   const uint64_t last = first + parsed["seeds"].as<uint64_t>();
   for (options.run.seed = first; options.run.seed < last; ++options.run.seed) {
@@ -192,13 +196,13 @@
       auto read = parseSchedule(readFile(parsed["replay"].as<std::string>()));
       if (read.has_error()) {
         std::cerr << read.error().message << "\n";
-        return kUsage;
+        return kExitUsage;
       }
       schedule = std::move(read.value());
     }
-    worst = std::max(worst, playAndReport(options, schedule));
+    exit_code = std::max(exit_code, runAndReport(options, schedule));
   }
-  return worst;
+  return exit_code;
 }
 
 }  // namespace
