--- a/src/forwarding/crash_register.cc
+++ b/src/forwarding/crash_register.cc
@@ -234,7 +234,7 @@
   return found->second.is_settled ? CrashVerdict::kReject : CrashVerdict::kWait;
 }
 
-std::vector<QuarantinedRequest> CrashRegister::blamed(size_t limit) const {
+std::vector<QuarantinedRequest> CrashRegister::quarantined(size_t limit) const {
   std::vector<std::pair<absl::Time, RequestIdentity>> all;
   all.reserve(quarantined_.size());
   for (const auto& [identity, quarantine] : quarantined_) {
--- a/src/forwarding/crash_register.h
+++ b/src/forwarding/crash_register.h
@@ -73,7 +73,7 @@
   // Whether it was served completely within the last minute.
   bool wasServed(const RequestIdentity& identity, absl::Time now) const;
   // At most `limit` quarantined requests, the most recently requested first.
-  std::vector<QuarantinedRequest> blamed(size_t limit) const;
+  std::vector<QuarantinedRequest> quarantined(size_t limit) const;
   // Crashes under the suspects closest to quarantine whose last crash is at most a minute old: what a
   // starting gateway needs to continue the count. They hold at most `limit` request entries.
   std::vector<ServerCrash> unresolvedCrashes(size_t limit, absl::Time now) const;
--- a/src/forwarding/dialect.h
+++ b/src/forwarding/dialect.h
@@ -84,7 +84,7 @@
   // Engines.
   virtual HttpCall loadWeights(const NamedWeights& weights, std::string_view holder, Epoch fence,
                                std::optional<uint64_t> expected_orders, std::string_view server_id) const = 0;
-  virtual HttpCall askReport() const = 0;
+  virtual HttpCall requestReport() const = 0;
   virtual Result<EngineReport> readReport(std::string_view body) const = 0;
 };
 
--- a/src/forwarding/engine_capability.cc
+++ b/src/forwarding/engine_capability.cc
@@ -35,10 +35,10 @@
 }
 
 EngineCapability ReportedCapability::at(absl::Time now) const {
-  if (told == absl::InfinitePast()) {
+  if (reported_at == absl::InfinitePast()) {
     return {};
   }
-  const double trust = decayFactor(std::max(now - told - kFullTrustTime, absl::ZeroDuration()));
+  const double trust = decayFactor(std::max(now - reported_at - kFullTrustTime, absl::ZeroDuration()));
   EngineCapability discounted;
   discounted.prefill_time_per_token =
       kDefaultPrefillTimePerToken + (capability.prefill_time_per_token - kDefaultPrefillTimePerToken) * trust;
--- a/src/forwarding/engine_capability.h
+++ b/src/forwarding/engine_capability.h
@@ -33,10 +33,10 @@
   double probabilityOfPauseOver(absl::Duration allowed) const;
 };
 
-// A capability reported by a peer at `told`; it decays with its age.
+// A capability reported by a peer at `reported_at`; it decays with its age.
 struct ReportedCapability {
   EngineCapability capability;
-  absl::Time told = absl::InfinitePast();
+  absl::Time reported_at = absl::InfinitePast();
 
   EngineCapability at(absl::Time now) const;
 };
--- a/src/forwarding/reader_election.cc
+++ b/src/forwarding/reader_election.cc
@@ -65,13 +65,13 @@
   const ReaderCandidate self{self_, capacity_, true};
   const ReaderCandidate* best = nullptr;
   bool followed_reads = false;
-  hears_reader_ = false;
+  has_zone_reader_ = false;
   int64_t turns_before = 0;
   for (const ReaderCandidate& peer : live) {
     const bool is_trusted = isTrusted(peer.id, now);
     turns_before += is_trusted && hasPriorityOver(peer, self) ? 1 : 0;
-    hears_reader_ = hears_reader_ || peer.reads_well;
-    if (!is_trusted || !peer.reads_well) {
+    has_zone_reader_ = has_zone_reader_ || peer.is_zone_reader;
+    if (!is_trusted || !peer.is_zone_reader) {
       continue;
     }
     followed_reads = followed_reads || role_.follows == peer.id;
--- a/src/forwarding/reader_election.h
+++ b/src/forwarding/reader_election.h
@@ -23,8 +23,8 @@
 // A live peer of this node's zone.
 struct ReaderCandidate {
   NodeId id;
-  double capacity = 0;      // of its machine; the greater one has priority
-  bool reads_well = false;  // it reads the store, and its rows are recent
+  double capacity = 0;          // of its machine; the greater one has priority
+  bool is_zone_reader = false;  // it reads the store, and its rows are recent
 };
 
 struct ReaderRole {
@@ -58,7 +58,7 @@
   void noteFailed(const NodeId& reader, absl::Time now);
   const ReaderRole& role() const { return role_; }
   // Whether, at the last decision, a peer reported that it reads successfully.
-  bool hearsReader() const { return hears_reader_; }
+  bool hasZoneReader() const { return has_zone_reader_; }
 
  private:
   void follow(const NodeId& reader, absl::Time now);
@@ -68,7 +68,7 @@
   NodeId self_;
   double capacity_;
   ReaderRole role_;
-  bool hears_reader_ = false;
+  bool has_zone_reader_ = false;
   absl::Time follows_since_ = absl::InfinitePast();
   absl::Time better_since_ = absl::InfiniteFuture();      // since when a better reader has been known
   absl::Time leaderless_since_ = absl::InfiniteFuture();  // since when no peer has read successfully
--- a/src/forwarding/row_cache.cc
+++ b/src/forwarding/row_cache.cc
@@ -22,7 +22,7 @@
   }
   as_of_ = std::max(as_of_, update.as_of);
   confirmed_ = std::max(confirmed_, update.confirmed);
-  ++readings_;
+  ++update_count_;
   effect.version = served_version_;
   effect.confirmed = update.confirmed;
   effect.as_of = as_of_;
--- a/src/forwarding/row_cache.h
+++ b/src/forwarding/row_cache.h
@@ -48,7 +48,7 @@
   // Whether a snapshot has been applied; before that there is nothing to serve.
   bool hasSnapshot() const { return served_version_ > 0; }
   // The number of applied responses: each confirms the rows as of a later time.
-  uint64_t readings() const { return readings_; }
+  uint64_t updateCount() const { return update_count_; }
   // All changes up to this version are known.
   uint64_t version() const { return served_version_; }
   absl::Time confirmed() const { return confirmed_; }
@@ -90,7 +90,7 @@
   // change that the preceding deltas left out.
   uint64_t served_version_ = 0;
   uint64_t last_change_ = 0;
-  uint64_t readings_ = 0;
+  uint64_t update_count_ = 0;
   absl::Time confirmed_ = absl::InfinitePast();
   absl::Time as_of_ = absl::InfinitePast();
 };
--- a/src/gateway/crash_exchange.cc
+++ b/src/gateway/crash_exchange.cc
@@ -92,8 +92,8 @@
   for (const ServerCrash& end : message.crashes) {
     handleCrash(end, false);
   }
-  for (const forwarding::QuarantinedRequest& blamed : message.quarantined) {
-    handleQuarantined(blamed);
+  for (const forwarding::QuarantinedRequest& quarantined : message.quarantined) {
+    handleQuarantined(quarantined);
   }
   return outcome::success();
 }
@@ -132,9 +132,9 @@
   }
 }
 
-void CrashExchange::handleQuarantined(const forwarding::QuarantinedRequest& blamed) {
-  if (!objectIfServed(blamed.identity) && register_.noteQuarantined(blamed, reactor::steadyNow())) {
-    logQuarantine(blamed.identity, "told");
+void CrashExchange::handleQuarantined(const forwarding::QuarantinedRequest& quarantined) {
+  if (!objectIfServed(quarantined.identity) && register_.noteQuarantined(quarantined, reactor::steadyNow())) {
+    logQuarantine(quarantined.identity, "told");
   }
 }
 
@@ -245,7 +245,7 @@
 void CrashExchange::reportToRandomPeers() {
   const auto& peers = directory_.peers();
   CrashMessage message;
-  message.quarantined = register_.blamed(kCrashMessageCapacity / 2);
+  message.quarantined = register_.quarantined(kCrashMessageCapacity / 2);
   const size_t room = (kCrashMessageCapacity - message.quarantined.size()) / (1 + kCrashFrameEntries);
   message.crashes = register_.unresolvedCrashes(room, reactor::steadyNow());
   if (message.isEmpty() || peers.empty()) {
--- a/src/gateway/crash_exchange.h
+++ b/src/gateway/crash_exchange.h
@@ -52,7 +52,7 @@
   void handleCrash(const forwarding::ServerCrash& end, bool is_own);
   void settle(bool writes_record);
   void handleCleared(const forwarding::RequestIdentity& identity, bool is_own);
-  void handleQuarantined(const forwarding::QuarantinedRequest& blamed);
+  void handleQuarantined(const forwarding::QuarantinedRequest& quarantined);
   void logQuarantine(const forwarding::RequestIdentity& identity, std::string_view by);
   // Whether a suspect was served here: if so, queues an objection for the peers.
   bool objectIfServed(const forwarding::RequestIdentity& identity);
--- a/src/gateway/crash_message.cc
+++ b/src/gateway/crash_message.cc
@@ -22,8 +22,8 @@
 }
 
 template <class Archive>
-void serialize(Archive& archive, QuarantinedRequest& blamed) {
-  archive(blamed.identity, blamed.had_trial);
+void serialize(Archive& archive, QuarantinedRequest& quarantined) {
+  archive(quarantined.identity, quarantined.had_trial);
 }
 
 }  // namespace quincewick::forwarding
--- a/src/gateway/exchange_quota.cc
+++ b/src/gateway/exchange_quota.cc
@@ -38,7 +38,7 @@
   is_quota_decided_ = true;
   pending_quota_.reset();
   quota_wait_ = reactor::steadyNow() - began_;
-  quota_owner_ = decision.keeper;
+  quota_owner_ = decision.owner;
   if (!decision.verdict.is_granted) {
     quota_cost_ = 0;
     reject(kTooManyRequests, "over_limit", decision.verdict.retry_after);
--- a/src/gateway/occupancy_exchange.cc
+++ b/src/gateway/occupancy_exchange.cc
@@ -136,7 +136,7 @@
     reported_.clear();
   }
   forwarding::ReportedCapability& reported = reported_[engine];
-  const absl::Duration since = now - reported.told;
+  const absl::Duration since = now - reported.reported_at;
   const bool is_due = since >= kReportRepeatInterval ||
                       (since >= kMinReportInterval && hasChangedEnough(capability, reported.capability));
   if (is_due) {
--- a/src/gateway/quota_exchange.cc
+++ b/src/gateway/quota_exchange.cc
@@ -36,20 +36,20 @@
 
 uint64_t QuotaExchange::acquire(const quota::LimitName& name, double cost, DecisionCallback on_decision) {
   quota::QuotaActions actions;
-  const uint64_t number = quotas_.ask(name, cost, reactor::steadyNow(), actions);
+  const uint64_t number = quotas_.requestGrant(name, cost, reactor::steadyNow(), actions);
   waiting_[number] = std::move(on_decision);
   execute(actions);
   return number;
 }
 
 void QuotaExchange::cancel(uint64_t number) {
-  quotas_.forget(number);
+  quotas_.cancel(number);
   waiting_.erase(number);
 }
 
 void QuotaExchange::refund(const quota::LimitName& name, double cost, const NodeId& owner) {
   quota::QuotaActions actions;
-  quotas_.giveBack(name, cost, owner, actions);
+  quotas_.refund(name, cost, owner, actions);
   execute(actions);
 }
 
--- a/src/gateway/relay_follower.cc
+++ b/src/gateway/relay_follower.cc
@@ -18,7 +18,7 @@
   stop();
   peer_ = peer;
   after_ = after;
-  readings_ = 0;
+  update_count_ = 0;
   caller_ = std::make_unique<reactor::HttpClient>(core_.reactor, core_.timers, address);
   sendRequest();
 }
@@ -40,7 +40,7 @@
     return;
   }
   const absl::Time now = reactor::steadyNow();
-  const RelayRequest request{table_, after_, readings_, wait_};
+  const RelayRequest request{table_, after_, update_count_, wait_};
   auto sealed = authenticator->seal(peer::Channel::kRequest, peer_, peer::PeerModule::kRouting,
                                     encodeRelayRequest(request));
   HttpCall call{"POST", kPackedPath, {}, std::move(sealed.bytes)};
@@ -70,7 +70,7 @@
     return;
   }
   after_ = std::max(after_, response.value().version);
-  readings_ = response.value().readings;
+  update_count_ = response.value().update_count;
   forwarding::TableUpdate update;
   update.rows = std::move(response.value().rows);
   update.is_whole = response.value().is_whole;
--- a/src/gateway/relay_follower.h
+++ b/src/gateway/relay_follower.h
@@ -49,7 +49,7 @@
   NodeId peer_;
   std::unique_ptr<reactor::HttpClient> caller_;  // null while no peer is followed
   uint64_t after_ = 0;
-  uint64_t readings_ = 0;
+  uint64_t update_count_ = 0;
   uint64_t generation_ = 0;  // incremented with each start and stop, to discard late responses
 };
 
--- a/src/gateway/relay_messages.cc
+++ b/src/gateway/relay_messages.cc
@@ -36,14 +36,14 @@
 template <class Archive>
 void serialize(Archive& archive, RelayRequest& request) {
   archiveText(archive, request.table, kMaxTableName);
-  archive(request.after, request.readings, request.wait);
+  archive(request.after, request.update_count, request.wait);
 }
 
 template <class Archive>
 void serialize(Archive& archive, RelayResponse& response) {
   archiveList(archive, response.rows, kMaxRows);
-  archive(response.is_whole, response.version, response.readings, response.confirmed_ago, response.as_of_ago,
-          response.held_for);
+  archive(response.is_whole, response.version, response.update_count, response.confirmed_ago,
+          response.as_of_ago, response.held_for);
 }
 
 template <class Archive>
--- a/src/gateway/relay_messages.h
+++ b/src/gateway/relay_messages.h
@@ -18,8 +18,8 @@
 // passed.
 struct RelayRequest {
   std::string table;
-  uint64_t after = 0;     // version that the requester has; 0: request a snapshot
-  uint64_t readings = 0;  // the reader's last reading known to the requester; a newer one is an update
+  uint64_t after = 0;         // version that the requester has; 0: request a snapshot
+  uint64_t update_count = 0;  // of the reader, last known to the requester; a newer one is an update
   absl::Duration wait;
 
   friend bool operator==(const RelayRequest&, const RelayRequest&) = default;
@@ -29,7 +29,7 @@
   std::vector<forwarding::StoreRow> rows;
   bool is_whole = false;
   uint64_t version = 0;
-  uint64_t readings = 0;
+  uint64_t update_count = 0;
   // Time from the start of the last complete read that confirms the rows until the response was created.
   absl::Duration confirmed_ago;
   // Staleness of the rows when the response was created, at most.
--- a/src/gateway/row_relay.cc
+++ b/src/gateway/row_relay.cc
@@ -103,7 +103,8 @@
 
 bool RowRelay::hasUpdate(const RelayRequest& request) const {
   const forwarding::RowCache& cache = *caches_.at(request.table);
-  return request.after == 0 || cache.lastChange() > request.after || cache.readings() != request.readings;
+  return request.after == 0 || cache.lastChange() > request.after ||
+         cache.updateCount() != request.update_count;
 }
 
 void RowRelay::sendResponse(PendingRequest& pending) {
@@ -123,7 +124,7 @@
   RelayResponse response;
   response.is_whole = cache.needsSnapshotSince(pending.request.after);
   response.version = cache.version();
-  response.readings = cache.readings();
+  response.update_count = cache.updateCount();
   response.confirmed_ago = now - cache.confirmed();
   response.as_of_ago = now - cache.asOf();
   response.held_for = now - pending.received_at;
--- a/src/gateway/server_rates.cc
+++ b/src/gateway/server_rates.cc
@@ -30,7 +30,7 @@
       [this, grant, on_decision = std::move(on_decision)](const quota::QuotaDecision& decision) {
         core_.metrics.countRateDecision(decision.verdict.is_granted);
         RateDecision decided{decision.verdict.is_granted, decision.verdict.retry_after, grant};
-        decided.grant.owner = decision.keeper;
+        decided.grant.owner = decision.owner;
         on_decision(decided);
       });
 }
--- a/src/gateway/site_follower.cc
+++ b/src/gateway/site_follower.cc
@@ -207,7 +207,7 @@
 // reader is known and peers are reachable.
 void SiteFollower::checkIsolation(absl::Time now) {
   const bool is_list_old = now - core_.servers_as_of > maxServerListAge();
-  if (is_list_old && !election_.hearsReader() && !exchange_.areNearPeersSilent(now)) {
+  if (is_list_old && !election_.hasZoneReader() && !exchange_.areNearPeersSilent(now)) {
     list_.noteStoreOutage();
   }
 }
--- a/src/gateway/weight_loader.cc
+++ b/src/gateway/weight_loader.cc
@@ -148,7 +148,7 @@
 
 void WeightLoader::requestReport(const std::string& server_id) {
   loads_.at(server_id).caller->call(
-      core_.dialect->askReport(), kCallTimeout,
+      core_.dialect->requestReport(), kCallTimeout,
       [this, server_id](const Result<reactor::HttpResponse>& reply) { handleReport(server_id, reply); });
 }
 
--- a/src/quota/quota_messages.cc
+++ b/src/quota/quota_messages.cc
@@ -37,7 +37,8 @@
     return decoded;
   }
   const QuotaMessage& message = decoded.value();
-  const bool is_known = message.kind >= QuotaMessageKind::kAsk && message.kind <= QuotaMessageKind::kNotOwner;
+  const bool is_known =
+      message.kind >= QuotaMessageKind::kRequestGrant && message.kind <= QuotaMessageKind::kNotOwner;
   if (!is_known || !std::isfinite(message.cost) || message.cost < 0) {
     return fail(ErrorCode::kInvalidArgument, "quota message has an unknown kind or an invalid cost");
   }
--- a/src/quota/quota_messages.h
+++ b/src/quota/quota_messages.h
@@ -14,15 +14,15 @@
 namespace quincewick::quota {
 
 enum class QuotaMessageKind : uint8_t {
-  kAsk = 1,       // request: may work of this cost start?
-  kGrant = 2,     // response: it may start
-  kDeny = 3,      // response: it may not; retry after `retry_after`
-  kGiveBack = 4,  // the granted work never ran; no response
-  kNotOwner = 5,  // response: a node that ranks before the sender is reachable and owns the limit
+  kRequestGrant = 1,  // request: may work of this cost start?
+  kGrant = 2,         // response: it may start
+  kDeny = 3,          // response: it may not; retry after `retry_after`
+  kRefund = 4,        // the granted work never ran; no response
+  kNotOwner = 5,      // response: a node that ranks before the sender is reachable and owns the limit
 };
 
 struct QuotaMessage {
-  QuotaMessageKind kind = QuotaMessageKind::kAsk;
+  QuotaMessageKind kind = QuotaMessageKind::kRequestGrant;
   uint64_t number = 0;  // chosen by the requester; the response carries the same
   LimitName name;
   double cost = 0;                 // in the limit's unit, by the requester's configuration; 0: liveness probe
--- a/src/quota/shared_quotas.cc
+++ b/src/quota/shared_quotas.cc
@@ -27,7 +27,8 @@
   last_heartbeat_ = now;
 }
 
-uint64_t SharedQuotas::ask(const LimitName& name, double cost, absl::Time now, QuotaActions& actions) {
+uint64_t SharedQuotas::requestGrant(const LimitName& name, double cost, absl::Time now,
+                                    QuotaActions& actions) {
   const uint64_t number = ++last_number_;
   tryNextOwner(number, pending_[number] = {name, cost, false, {}, now}, now, actions);
   return number;
@@ -51,7 +52,7 @@
       request.tried.push_back(candidate);
       request.deadline = now + kResponseTimeout;
       actions.messages.push_back(
-          {candidate, {QuotaMessageKind::kAsk, number, name, cost, is_first_candidate, {}}});
+          {candidate, {QuotaMessageKind::kRequestGrant, number, name, cost, is_first_candidate, {}}});
       return;
     }
   }
@@ -112,17 +113,17 @@
     last = now;
     const uint64_t number = ++last_number_;
     pending_[number] = {name, 0, true, {node}, now + kResponseTimeout};
-    actions.messages.push_back({node, {QuotaMessageKind::kAsk, number, name, 0, true, {}}});
+    actions.messages.push_back({node, {QuotaMessageKind::kRequestGrant, number, name, 0, true, {}}});
   }
 }
 
-void SharedQuotas::giveBack(const LimitName& name, double cost, const NodeId& owner, QuotaActions& actions) {
+void SharedQuotas::refund(const LimitName& name, double cost, const NodeId& owner, QuotaActions& actions) {
   if (owner == self_) {
     if (const auto account = owned_accounts_.find(name); account != owned_accounts_.end()) {
       account->second.refund(cost);
     }
   } else if (!owner.value().empty()) {
-    actions.messages.push_back({owner, {QuotaMessageKind::kGiveBack, 0, name, cost, true, {}}});
+    actions.messages.push_back({owner, {QuotaMessageKind::kRefund, 0, name, cost, true, {}}});
   }
 }
 
@@ -130,11 +131,11 @@
                              QuotaActions& actions) {
   ranks_.noteHeard(from);
   switch (message.kind) {
-    case QuotaMessageKind::kAsk:
+    case QuotaMessageKind::kRequestGrant:
       handleRequest(from, message, now, actions);
       return;
-    case QuotaMessageKind::kGiveBack:
-      giveBack(message.name, message.cost, self_, actions);
+    case QuotaMessageKind::kRefund:
+      refund(message.name, message.cost, self_, actions);
       return;
     case QuotaMessageKind::kGrant:
     case QuotaMessageKind::kDeny:
--- a/src/quota/shared_quotas.h
+++ b/src/quota/shared_quotas.h
@@ -25,9 +25,9 @@
 namespace quincewick::quota {
 
 struct QuotaDecision {
-  uint64_t number = 0;  // as returned by `ask`
+  uint64_t number = 0;  // as returned by `requestGrant`
   QuotaVerdict verdict;
-  NodeId keeper;  // the owner that decided; empty: this gateway, by its even share
+  NodeId owner;  // the owner that decided; empty: this gateway, by its even share
 };
 
 struct QuotaActions {
@@ -69,11 +69,11 @@
 
   // Requests a grant of `cost`, in the limit's unit. Exactly one decision with the returned number follows,
   // at once or within three times kResponseTimeout.
-  uint64_t ask(const LimitName& name, double cost, absl::Time now, QuotaActions& actions);
+  uint64_t requestGrant(const LimitName& name, double cost, absl::Time now, QuotaActions& actions);
   // Cancels the request: no decision follows.
-  void forget(uint64_t number) { pending_.erase(number); }
+  void cancel(uint64_t number) { pending_.erase(number); }
   // Returns a grant of `owner` whose work never ran.
-  void giveBack(const LimitName& name, double cost, const NodeId& owner, QuotaActions& actions);
+  void refund(const LimitName& name, double cost, const NodeId& owner, QuotaActions& actions);
 
   void onMessage(const NodeId& from, const QuotaMessage& message, absl::Time now, QuotaActions& actions);
   // Sends requests whose deadline has passed to the next owner in rank.
--- a/tests/forwarding/crash_register_site_test.cc
+++ b/tests/forwarding/crash_register_site_test.cc
@@ -339,7 +339,7 @@
         continue;
       }
       gateway.gossip = now_;
-      const std::vector<QuarantinedRequest> quarantined = gateway.crashes->blamed(50);
+      const std::vector<QuarantinedRequest> quarantined = gateway.crashes->quarantined(50);
       const std::vector<ServerCrash> open = gateway.crashes->unresolvedCrashes(16, now_);
       for (size_t count = 0; count < kGossipTo; ++count) {
         const size_t to = draw(gateways_.size());
--- a/tests/forwarding/crash_register_test.cc
+++ b/tests/forwarding/crash_register_test.cc
@@ -204,7 +204,7 @@
   CHECK(crashes.noteQuarantined({kCulprit}, now));
   CHECK_FALSE(crashes.noteQuarantined({kCulprit}, now));
   CHECK(verdict(kCulprit) == CrashVerdict::kReject);
-  CHECK(crashes.blamed(10) == std::vector{QuarantinedRequest{kCulprit, false}});
+  CHECK(crashes.quarantined(10) == std::vector{QuarantinedRequest{kCulprit, false}});
 }
 
 TEST_CASE_METHOD(Fixture, "a quarantined request gets one trial, and is released once it was served") {
@@ -254,7 +254,7 @@
   }
   CHECK(crashes.suspectCount() <= 4096);
   CHECK(crashes.quarantinedCount() <= 1024);
-  CHECK(crashes.blamed(1) == std::vector{QuarantinedRequest{request(1'002'999), false}});
+  CHECK(crashes.quarantined(1) == std::vector{QuarantinedRequest{request(1'002'999), false}});
   // The newest evidence still counts.
   crash({kCulprit});
   crash({kCulprit});
--- a/tests/forwarding/reader_election_test.cc
+++ b/tests/forwarding/reader_election_test.cc
@@ -52,7 +52,7 @@
                    [&node](const ReaderCandidate& peer) { return peer.id != node.id; });
       const auto follows = node.election.role().follows;
       const bool lost = follows && std::none_of(heard.begin(), heard.end(), [&](const ReaderCandidate& peer) {
-                          return peer.id == *follows && peer.reads_well;
+                          return peer.id == *follows && peer.is_zone_reader;
                         });
       if (lost) {
         node.election.noteFailed(*follows, now);
--- a/tests/forwarding/reader_zone.h
+++ b/tests/forwarding/reader_zone.h
@@ -290,7 +290,7 @@
     const bool answers = !gateway.is_down && now - gateway.own_as_of <= oldest_list;
     gateway.role = gateway.election.decide(live, answers, now);
     const bool hears_any = !live.empty();
-    if (now - gateway.as_of > oldest_list && !gateway.election.hearsReader() && hears_any) {
+    if (now - gateway.as_of > oldest_list && !gateway.election.hasZoneReader() && hears_any) {
       gateway.lapsed.noteStoreOutage();
     }
     if (gateway.role.reads && !was_reading) {
@@ -312,10 +312,12 @@
       gateway.confirmation_times_out = absl::InfiniteFuture();
     }
     const absl::Duration bound = gateway.configuration_bound;
-    const auto hears_reader = [&gateway] { return gateway.role.reads || gateway.election.hearsReader(); };
+    const auto has_zone_reader = [&gateway] {
+      return gateway.role.reads || gateway.election.hasZoneReader();
+    };
     const bool is_pending = gateway.confirmation_times_out != absl::InfiniteFuture();
     if (is_pending || gateway.confirmed == absl::InfinitePast() ||
-        !gateway.schedule.isDue(bound, gateway.confirmed, hears_reader, now)) {
+        !gateway.schedule.isDue(bound, gateway.confirmed, has_zone_reader, now)) {
       return;
     }
     gateway.schedule.noteRequested(now);
--- a/tests/forwarding/row_cache_test.cc
+++ b/tests/forwarding/row_cache_test.cc
@@ -230,11 +230,11 @@
   CHECK_FALSE(cache.hasSnapshot());
   const absl::Time began = absl::UnixEpoch() + absl::Seconds(3);
   cache.take({{}, true, 4, began});
-  CHECK(cache.readings() == 1);
+  CHECK(cache.updateCount() == 1);
   const absl::Time asked = began + absl::Seconds(1);
   cache.take({{row("a", "1", 5)}, false, 5, absl::InfinitePast(), asked});
   CHECK(cache.confirmed() == began);
-  CHECK(cache.readings() == 2);
+  CHECK(cache.updateCount() == 2);
   CHECK(cache.updateSince(4).confirmed == began);
   CHECK(cache.updateSince(4).as_of == asked);
   CHECK(cache.asOf() == asked);
--- a/tests/quota/quota_site.h
+++ b/tests/quota/quota_site.h
@@ -110,7 +110,7 @@
       if (isRunning(index)) {
         ++requests;
         QuotaActions actions;
-        pending_costs_[index][gateways_[index].quotas->ask(kName, cost, now_, actions)] = cost;
+        pending_costs_[index][gateways_[index].quotas->requestGrant(kName, cost, now_, actions)] = cost;
         carryOut(index, actions);
       }
     }
--- a/tests/quota/shared_quotas_test.cc
+++ b/tests/quota/shared_quotas_test.cc
@@ -46,7 +46,8 @@
       quotas->onHeartbeat(false, now);
       QuotaActions actions;
       // Not the requester's first candidate: each gateway assumes that the ones before it are unreachable.
-      quotas->onMessage(NodeId("asker"), {QuotaMessageKind::kAsk, 1, kName, 3000, false, {}}, now, actions);
+      quotas->onMessage(NodeId("asker"), {QuotaMessageKind::kRequestGrant, 1, kName, 3000, false, {}}, now,
+                        actions);
       for (const auto& outgoing : actions.messages) {
         granted += is_in_window && outgoing.message.kind == QuotaMessageKind::kGrant ? 3000 : 0;
       }
