--- a/src/forwarding/back_pressure.h
+++ b/src/forwarding/back_pressure.h
@@ -30,12 +30,14 @@
   bool noteBackOff(absl::Duration back_off, absl::Time now);
   bool isBackingOff(absl::Time now) const { return now < back_off_until_; }
   absl::Time backOffUntil() const { return back_off_until_; }
-  // A request is sent. After a back-off period the first one is a probe, and others wait for a moment.
+  // A request is sent. After a back-off period the first one is a probe, and others wait for its
+  // response, at most 250 ms (kProbeTime).
   void noteSent(absl::Time now);
   // A response came that requests no back-off.
   void noteResponse(absl::Time now);
 
-  // Earliest time at which the server may be chosen, as far as its own requests go.
+  // Earliest time at which the server may be chosen, judged only by its rate limit, its back-off period and
+  // the probe after that.
   absl::Time availableAt() const;
 
  private:
--- a/src/forwarding/confirmation_schedule.h
+++ b/src/forwarding/confirmation_schedule.h
@@ -11,7 +11,7 @@
 class ConfirmationSchedule {
  public:
   // The age of the last confirmation at which a new one is requested. `bound`: the time within which a
-  // configuration must be in force.
+  // configuration must be in force, that is, apply to new requests.
   static absl::Duration maxTrustedAge(absl::Duration bound) { return bound * 2 / 3; }
   // The timeout of a confirmation request. The rest of the bound is enough for one request.
   static absl::Duration confirmationTimeout(absl::Duration bound) { return bound / 3; }
--- a/src/forwarding/crash_register.h
+++ b/src/forwarding/crash_register.h
@@ -58,8 +58,9 @@
   bool noteServed(const RequestIdentity& identity, absl::Time now);
   // A peer or the stored record reports a quarantined request. Returns whether it is new here.
   bool noteQuarantined(const QuarantinedRequest& request, absl::Time now);
-  // Whether a quarantined request is due to be sent once more, since it may always have run beside the
-  // culprit. One gateway of the site does so and reports it first (`takeTrial`).
+  // Whether a quarantined request is due to be sent once more, since it may merely have been
+  // in flight beside the actual culprit at each of its crashes. One gateway of the site does so and reports
+  // it first (`takeTrial`).
   bool isTrialDue(const RequestIdentity& identity, absl::Time now) const;
   void takeTrial(const RequestIdentity& identity, absl::Time now);
 
@@ -85,11 +86,12 @@
   // Drops crashes and quarantines whose retention has passed.
   void dropExpired(absl::Time now);
 
-  // The site allows a request three crashes.
+  // The site's requirements allow a request at most three crashes.
   static constexpr size_t kCrashesToQuarantine = 3;
   // Applies if in each of its crashes another request is as suspicious, if all crashes came at once, as when
   // part of a service fails, or if this gateway has not run long enough to know whether servers crash anyway.
-  // The site allows three more attempts after the third crash: this one, the trial, and one in flight.
+  // The site's requirements allow three more attempts after the third crash: the one that leads to the fourth
+  // crash, the trial, and one that was already in flight.
   static constexpr size_t kCrashesToQuarantineIfContested = 4;
   static constexpr absl::Duration kBurstWindow = absl::Seconds(1);
   // Applies if at least kMinUnrelatedCrashes servers of its service crashed recently without it and without
--- a/src/forwarding/engine_capability.h
+++ b/src/forwarding/engine_capability.h
@@ -47,7 +47,8 @@
   // Starts with the capability that the previous owner reported.
   CapabilityEstimator(const EngineCapability& initial, absl::Time now);
 
-  // A prefill was done within `took`, with `tokens` to be prefilled up to its end, its own among them.
+  // A prefill was done `took` after its slot was reserved. `tokens`: all that the engine still had to prefill
+  // when the slot was reserved, including those of this request.
   void notePrefillDone(uint64_t tokens, absl::Duration took, absl::Time now);
   // A stream ended; `longest` is its longest pause.
   void notePause(absl::Duration longest, absl::Time now);
--- a/src/forwarding/engine_placement.h
+++ b/src/forwarding/engine_placement.h
@@ -1,9 +1,9 @@
 // Chooses an engine for a request by the declared parts of its prompt: the engine with the lowest expected
 // cost, given where the parts are cached or can be fetched from.
 //
-// A part is identified by a chain key over the cache salt and all parts before it. The salt separates weights
-// versions and isolated tenants, so nothing cached under one of them is looked up by another. Beliefs about
-// an engine hold for one incarnation of it. Does no I/O; `now` never goes back.
+// A part is identified by a chain key over the cache salt, all parts before it and the part itself. The salt
+// separates weights versions and isolated tenants, so nothing cached under one of them is looked up by
+// another. Beliefs about an engine hold for one incarnation of it. Does no I/O; `now` never goes back.
 #pragma once
 
 #include <absl/random/bit_gen_ref.h>
@@ -56,7 +56,7 @@
   // Weight of prefilling a shared part again, which costs other requests more than this one's time.
   double shared_prefill_weight = 3;
   absl::Duration other_zone_penalty = absl::Milliseconds(3);
-  absl::Duration old_weights_penalty = absl::Milliseconds(250);  // for the request's lower worth on them
+  absl::Duration old_weights_penalty = absl::Milliseconds(250);  // since the request is worth less on them
   // Minimum for each rank below a chain's first engine.
   absl::Duration home_rank_penalty = absl::Milliseconds(15);
   // A chain away from its home evicts as many tokens of other chains there, which are then prefilled again.
--- a/src/forwarding/occupancy_tracker.h
+++ b/src/forwarding/occupancy_tracker.h
@@ -53,7 +53,7 @@
  private:
   struct Reservation {
     uint64_t prefill_tokens = 0;
-    uint64_t tokens_ahead = 0;  // to be prefilled when it was reserved, its own among them
+    uint64_t tokens_ahead = 0;  // still to be prefilled at the engine when it was reserved, including its own
     bool measures_speed = false;
     absl::Time reserved_at;
     absl::Time expires_at;
--- a/src/forwarding/order_lease.cc
+++ b/src/forwarding/order_lease.cc
@@ -143,8 +143,8 @@
     return first_order_time_;
   }
   // An earlier incarnation of this node may still have been waiting for its predecessor since it acquired the
-  // lease. It waited for a holder whose record was lost only if the store reports eras, as a store that can
-  // be restored does.
+  // lease. If the store reports eras, as a store that can be restored does, it may also have waited for a
+  // holder whose record was lost; otherwise it did not.
   const bool has_acquisition_time =
       record.holder == self_ && (record.fence.value() & kHolderMask) == holderBits(self_);
   const absl::Duration max_wait_since_acquisition = record.era ? maxHolderWait() : length_ - kOrderMargin;
--- a/src/forwarding/order_lease.h
+++ b/src/forwarding/order_lease.h
@@ -2,11 +2,11 @@
 // conditionally on its version and timed by the store's own steady clock. Each acquisition gets a higher
 // fencing token, so that engines reject orders of an earlier holder.
 //
-// A holder stops sending orders well before its lease expires, and a new holder starts only one full lease
-// length after the previous lease expired, so the orders of two holders never interleave. Neither guarantee
-// depends only on what the store remembers: fencing tokens are derived from the store's clock, and a new
-// holder also waits for a holder whose record the store may have lost (docs/design/order_lease.md).
-// Performs no I/O; `now` is the node's steady clock.
+// A holder stops sending orders 1 s before its lease expires, and a new holder starts only when a lease
+// length less this second has passed since the previous lease expired, so the orders of two holders never
+// interleave. This and the rise of fencing tokens hold even if the store loses the row: fencing tokens are
+// derived from the store's clock, and a new holder also waits for a holder whose record the store may have
+// lost (docs/design/order_lease.md). Performs no I/O; `now` is the node's steady clock.
 #pragma once
 
 #include <absl/time/time.h>
--- a/src/forwarding/polling_schedule.h
+++ b/src/forwarding/polling_schedule.h
@@ -23,8 +23,8 @@
   absl::Duration afterFailedSnapshot(absl::BitGenRef random);
   // The pause from a successful snapshot read until the next one.
   absl::Duration afterSnapshot(absl::BitGenRef random);
-  // The pause from a response, including that of the first snapshot read, until the next long poll. A new
-  // reader polls as often as any other, because followers use its rows at once.
+  // The pause from a response, including that of the first snapshot read, until the next long poll. It
+  // is the same for a gateway that has just become the reader, because followers use its rows at once.
   absl::Duration afterDelta() const { return settings_.pause; }
   // The pause after a long poll that got no response or could not be sent.
   absl::Duration afterFailedDelta() const { return kMinRetryPause; }
--- a/src/forwarding/request_facts.h
+++ b/src/forwarding/request_facts.h
@@ -20,7 +20,7 @@
 };
 
 struct RequestFacts {
-  std::string attempt_id;  // one attempt of the caller; empty: none given
+  std::string attempt_id;  // identifies the caller's attempt, given by the caller; empty: none given
   std::optional<absl::Duration> deadline;
   std::optional<std::string> last_event_id;
   std::optional<std::string> key;  // the caller's bearer key
@@ -32,9 +32,10 @@
 
 struct ResponseFacts {
   std::string attempt_id;
-  bool is_signed = false;        // by the server that created it
-  bool is_not_run = false;       // the server says that it did not run the request
-  bool is_other_server = false;  // another incarnation than the expected one, or another weights version
+  bool is_signed = false;   // has the signature field of the server that created it
+  bool is_not_run = false;  // the server says that it did not run the request
+  // The server says that it is another incarnation than the expected one, or has another weights version.
+  bool is_other_server = false;
   std::optional<std::string> server_id;
   std::optional<WeightsVersion> weights_version;
   std::optional<absl::Duration> idle_limit;    // how long the server keeps an idle connection
--- a/src/forwarding/retry_budget.h
+++ b/src/forwarding/retry_budget.h
@@ -4,9 +4,9 @@
 // takes one, and the bucket holds at most this node's part of `constant`. In any window a node's retries are
 // at most `ratio` times its requests of that window plus what its bucket held before, and all buckets
 // together hold at most `constant`. So the site's limit holds without communication between nodes, however
-// clients move and nodes stop, crash, restart and join. Per-node counting windows can't ensure this: one
-// request allowed retries in two windows, which gave 1,304 retries where 1,127 were allowed (79 nodes,
-// stopped in turn).
+// clients move and nodes stop, crash, restart and join. Windows that each node counts for itself can't ensure
+// this, because one request allowed retries in two windows: when 79 nodes were stopped in turn, 1,304
+// retries were sent where 1,127 were allowed.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
--- a/src/forwarding/rollout_planner.h
+++ b/src/forwarding/rollout_planner.h
@@ -36,7 +36,8 @@
 struct RolloutSettings {
   uint32_t min_concurrent_loads = 2;
   double concurrent_load_share = 0.2;  // of the engines: this share loads at full speed
-  // The limit if the bound can't be met otherwise; the share applies if it is more.
+  // If the bound can't be met with that many, more engines load at once, up to this number. It does not limit
+  // the share.
   uint32_t max_concurrent_loads = 4;
   absl::Duration start_delay = absl::ZeroDuration();  // from a version's naming until its loads begin
   // A reserved engine gets no new requests, so that it drains: a load blocks the requests that run. Its order
--- a/src/forwarding/server_directory.h
+++ b/src/forwarding/server_directory.h
@@ -44,7 +44,7 @@
   // False while its entry exists but cannot be parsed: it may announce that the server leaves.
   bool is_readable = true;
   ServerLoad own;
-  ServerLoad peers;  // of this node's zone, or of all peers on a small site
+  ServerLoad peers;  // sum of what this node's peers reported: of its zone, or on a small site all of them
   ServerLoad other_zones;
   // A penalty that grows with each failure and decays exponentially.
   double failure_score = 0;
@@ -53,7 +53,7 @@
   uint32_t connect_failures = 0;  // consecutive
   // Until then the server is reserved for loading weights and receives no new requests.
   absl::Time loading_until = absl::InfinitePast();
-  double latency_seconds = 0;  // of plain requests, smoothed; 0 if unknown
+  double latency_seconds = 0;  // from an attempt's start to the end of its response, smoothed; 0 if unknown
 
   ReportedCapability capability;  // reported by the owner of its occupancy
   // Of this incarnation; retained while its entry is removed and added again.
--- a/src/forwarding/site_configuration.h
+++ b/src/forwarding/site_configuration.h
@@ -38,8 +38,9 @@
   RepeatKind kind = RepeatKind::kOnce;
   std::optional<absl::Duration> timeout;
   std::optional<absl::Duration> target_latency;
-  std::optional<absl::Duration> allowed_pause;  // between the events of a stream, for it to count as on time
-  uint32_t urgency = 5;                         // 0 is the most urgent
+  // The longest pause between the events of a stream with which the stream still counts as on time.
+  std::optional<absl::Duration> allowed_pause;
+  uint32_t urgency = 5;  // 0 is the most urgent
   std::vector<ServiceShare> shares;
   uint32_t max_attempts = 1;
   bool is_public = false;     // served without a key
@@ -108,7 +109,8 @@
   // The tenant with that id, or null.
   const Tenant* findTenantNamed(const TenantId& id) const;
   const Service* findService(const ServiceName& name) const;
-  // The queue levels of the service, by the urgencies of its routes and of all tenants.
+  // The service's urgency levels, in which engines serve requests: the urgencies of its routes and of all
+  // tenants, ranked.
   const scheduling::UrgencyLevels& levelsOf(const ServiceName& service) const;
   // The cache stores of the site, which are identified by their addresses.
   const std::vector<CacheStoreTraits>& cacheStores() const { return cache_stores_; }
--- a/src/forwarding/store_history.h
+++ b/src/forwarding/store_history.h
@@ -33,10 +33,11 @@
 
   std::optional<uint64_t> era() const { return era_; }
   uint64_t version() const { return version_; }
-  // Rises each time acknowledged writes may have been lost, and with the first era.
+  // Rises each time acknowledged writes may have been lost, and when the store first reports an era.
   uint64_t generation() const { return generation_; }
-  // No write acknowledged after this time is known to be lost. If the store reports an era, when that era was
-  // first seen; otherwise when the store was last seen to be reverted, InfinitePast if never.
+  // As far as is known, no write that was acknowledged after this time has been lost. If the store reports an
+  // era, when that era was first seen; otherwise when the store was last seen to be reverted, InfinitePast if
+  // never.
   absl::Time continuousSince() const { return continuous_since_; }
 
  private:
--- a/src/forwarding/weights_register.cc
+++ b/src/forwarding/weights_register.cc
@@ -11,8 +11,8 @@
 // A request may wait at a full engine before it begins.
 constexpr absl::Duration kQueueMargin = absl::Milliseconds(400);
 constexpr absl::Duration kPreferenceMargin = absl::Milliseconds(1200);
-// Work on older versions is worth less from some time after a version was named; this is that time minus the
-// time that a request takes to reach an engine.
+// From a certain time after a version was named, work on older versions is worth less. This is that time
+// minus the time that a request takes to reach an engine.
 constexpr absl::Duration kFullValueTime = absl::Milliseconds(1300);
 constexpr size_t kMaxVersions = 16;
 
--- a/src/gateway/core.h
+++ b/src/gateway/core.h
@@ -101,7 +101,8 @@
   std::optional<absl::Duration> storeClock(absl::Time now) const;
   // Time since the configuration in force was last confirmed; infinite if there is none.
   absl::Duration configurationAge(absl::Time now) const { return now - in_force.confirmed; }
-  // Whether the configuration was confirmed within its bound, so that no newer one must be in force yet.
+  // Whether the configuration was confirmed within its bound. A newer one that is not known here was then
+  // stored less than the bound ago and need not be in force yet.
   bool configurationIsCurrent(absl::Time now) const;
   // Whether keys were confirmed recently enough to send a request under a key now.
   bool keysAreConfirmed(absl::Time now) const;
--- a/src/gateway/crash_detector.h
+++ b/src/gateway/crash_detector.h
@@ -1,6 +1,6 @@
 // Detects whether a server crashed when an attempt broke off: its machine then refuses a new connection at
 // once. A reset connection, a truncated response, a machine that doesn't respond, and a server that announced
-// that it leaves are not crashes.
+// that it leaves are not crashes. A server that accepts connections again before the probe is not detected.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -153,7 +153,7 @@
   uint32_t attempt_pieces_ = 0;
   absl::Duration attempt_longest_pause_ = absl::ZeroDuration();  // longest gap between its pieces
   std::optional<Reservation> reservation_;                       // the slot held at the engine
-  forwarding::ServerLoad counted_;                               // this attempt's share of the server's load
+  forwarding::ServerLoad counted_;        // what this attempt added to the server's load, until it ends
   std::optional<uint64_t> pending_rate_;  // request to the owner of the server's rate limit
   uint32_t rate_turn_ = 0;                // counts these requests
   bool has_rate_decision_ = false;
--- a/src/gateway/gateway_metrics.h
+++ b/src/gateway/gateway_metrics.h
@@ -35,7 +35,7 @@
   void countTruncated() { responses_truncated_->Increment(); }
   void countRefusedDatagram() { datagrams_refused_->Increment(); }
   void countStoreWentBack() { store_went_back_->Increment(); }
-  // A request goes to a variant of a rollout, or to the only version there is.
+  // A request goes to a variant of its service's rollout, as the traffic splitter chose it.
   void countRolloutRequest(staged_rollout::Variant side) {
     (side == staged_rollout::Variant::kTarget ? to_target_ : to_base_)->Increment();
   }
--- a/src/gateway/gateway_settings.h
+++ b/src/gateway/gateway_settings.h
@@ -26,11 +26,12 @@
 
 // The site's guarantees, from which the gateway derives its own time limits.
 struct GatewayBounds {
-  absl::Duration key_revocation = absl::Seconds(5);  // no request runs under a key revoked longer ago
-  absl::Duration configuration_in_force =
-      absl::Seconds(5);                            // an acknowledged configuration is in force within it
-  absl::Duration server_drain = absl::Seconds(2);  // no request is sent to a server that leaves after it
-  absl::Duration stop_grace = absl::Seconds(8);    // from SIGTERM until the process is killed
+  absl::Duration key_revocation = absl::Seconds(5);  // no request is sent under a key revoked longer ago
+  // Longest time from the store's acknowledgement of a configuration until it applies to new requests.
+  absl::Duration configuration_in_force = absl::Seconds(5);
+  // Longest time from the announcement that a server leaves until no new request is sent to it.
+  absl::Duration server_drain = absl::Seconds(2);
+  absl::Duration stop_grace = absl::Seconds(8);  // from SIGTERM until the process is killed
   absl::Duration order_lease = absl::Seconds(3);
   absl::Duration weights_in_force = absl::Seconds(8);  // within it a requested version is on all engines
   double retry_ratio = 0.2;                            // retries per request
@@ -53,8 +54,8 @@
   uint32_t gateways_assumed = 16;           // least number of gateways assumed: divides site-wide constants
   uint32_t connections_at_most = 3000;
   bool site_is_new = false;  // first start of all gateways: none has a row in the store yet
-  // Largest share of a service's requests that go to a new server version before its verdict; 0: no staged
-  // rollouts.
+  // Largest share of a service's requests that go to a new server version before the rollout's verdict on it;
+  // 0: no staged rollouts.
   double rollout_share = 0;
   double capacity = 0;  // of the machine, in any common unit: the largest of a zone is preferred as reader
 
--- a/src/gateway/peer_directory.h
+++ b/src/gateway/peer_directory.h
@@ -43,7 +43,8 @@
   peer::Authenticator* authenticator() const { return authenticator_.get(); }
   absl::btree_map<NodeId, Peer>& peers() { return peers_; }
   const absl::btree_map<NodeId, Peer>& peers() const { return peers_; }
-  // All gateways of the site, including this one, as candidates for owners. Sorted by id.
+  // All gateways of the site, including this one, as candidates for owners of limits and engine occupancy.
+  // Sorted by id.
   std::vector<routing::KeeperMember> ownerCandidates() const;
   bool isOwnZone(const Peer& peer) const { return peer.zone == core_.settings.zone; }
 
--- a/src/gateway/relay_messages.h
+++ b/src/gateway/relay_messages.h
@@ -1,5 +1,5 @@
 // Requests of followers to their zone's reader, and its responses: bodies of HTTP calls, encoded by cereal
-// and sealed.
+// and sealed, that is, authenticated with a MAC under the site's key.
 #pragma once
 
 #include <absl/time/time.h>
--- a/src/gateway/rollout_exchange.h
+++ b/src/gateway/rollout_exchange.h
@@ -55,7 +55,7 @@
   bool mayUse(const forwarding::Server& server) const;
 
   // Record the start and the end of an attempt at the server. `took`: the time until the response.
-  // kUncounted: neither a response nor a failure of the server.
+  // kUncounted: the attempt ended by neither a response nor a failure of the server, and is not counted.
   enum class AttemptOutcome : uint8_t { kAnswered, kFailed, kUncounted };
   void noteSent(const forwarding::Server& server);
   void noteOver(const forwarding::Server& server, std::string_view route, bool was_crowded,
--- a/src/gateway/rollout_messages.h
+++ b/src/gateway/rollout_messages.h
@@ -13,12 +13,15 @@
 
 namespace quincewick::gateway {
 
-// A gateway's counts of some strata, sent to the decider.
+// A gateway's response counts, sent to the decider. One message may hold only some of the strata, each of
+// which is a route under similar load (staged_rollout::Stratum).
 struct RolloutAccount {
   staged_rollout::ServiceName service;
-  uint64_t request_row = 0;    // row of the operator's request for the rollout
-  uint64_t incarnation = 0;    // changes with each start of the gateway, which resets the counts
-  uint64_t confirmed_row = 0;  // by this record, the gateway has no requests at the baseline and starts none
+  uint64_t request_row = 0;  // row of the operator's request for the rollout
+  uint64_t incarnation = 0;  // changes with each start of the gateway, which resets the counts
+  // Row of the rollout record in the finishing stage under which the gateway has no requests at the baseline
+  // in progress and starts none.
+  uint64_t confirmed_row = 0;
   staged_rollout::ResponseStats counts;
 };
 
--- a/src/gateway/snapshot_reader.h
+++ b/src/gateway/snapshot_reader.h
@@ -16,7 +16,8 @@
   // The store's version as of the first page. Rows may change while later pages are read; these changes are
   // part of the deltas after this version.
   uint64_t version = 0;
-  absl::Duration clock;  // the store's clock at the last page
+  // The store's clock at the last page. PeerDirectory derives this gateway's incarnation from it.
+  absl::Duration clock;
 };
 
 class SnapshotReader {
--- a/src/gateway/store_client.h
+++ b/src/gateway/store_client.h
@@ -19,7 +19,7 @@
 // The outcome of a store call.
 enum class StoreStatus : uint8_t {
   kDone,
-  kConflict,     // a condition did not hold; `rows` holds the current rows
+  kConflict,     // a condition did not hold; `rows` holds the current rows that the store returned
   kHistoryGone,  // the changes since that version are no longer available
   kNotDone,      // refused, or never sent
   kUnknown,      // no response: a write may have been done, or may still be
--- a/src/quota/quota_account.h
+++ b/src/quota/quota_account.h
@@ -1,7 +1,7 @@
 // Token bucket of one limit, held by the limit's owner. Pure; `now` never goes back.
 //
 // The bucket fills at the limit's rate. Half of the tolerance is headroom in the bucket; the other half
-// covers what successive owners grant alongside each other. The first in rank starts with a
+// covers what two owners grant at the same time while one succeeds the other. The first in rank starts with a
 // full bucket. A stand-in starts with an eighth of the tolerance and falls back to that after a second
 // without requests, because another node may have owned the limit meanwhile.
 #pragma once
@@ -23,8 +23,9 @@
   // Whether unused rate accumulates for bursts. False: another node owned the limit recently and may have
   // granted the same amount.
   bool may_accumulate = true;
-  bool is_first_in_rank = true;  // if this node got no requests, no other owner got any either
-  double initial_fraction = 1;   // of the balance that a succeeding owner starts with
+  // No node ranks before this one, so a second without requests does not mean that another owner was asked.
+  bool is_first_in_rank = true;
+  double initial_fraction = 1;  // of the balance that a succeeding owner starts with
 
   static OwnerAllowance full() { return {}; }
 };
--- a/src/quota/quota_messages.h
+++ b/src/quota/quota_messages.h
@@ -25,7 +25,7 @@
   QuotaMessageKind kind = QuotaMessageKind::kRequestGrant;
   uint64_t number = 0;  // chosen by the requester; the response carries the same
   LimitName name;
-  double cost = 0;                 // in the limit's unit, by the requester's configuration; 0: liveness probe
+  double cost = 0;  // in the limit's unit, computed by the requester's configuration; 0: liveness probe
   bool is_first_candidate = true;  // of a request: no other gateway was asked before
   absl::Duration retry_after;
 };
--- a/src/quota/shared_quotas.h
+++ b/src/quota/shared_quotas.h
@@ -60,7 +60,7 @@
         no_owner_policy_(no_owner_policy) {}
 
   void setTolerance(const LimitTolerance& tolerance) { tolerance_ = tolerance; }
-  // All gateways of the site, including this one.
+  // All gateways of the site, including this one: the candidates for owning a limit.
   void setMembers(std::vector<routing::KeeperMember> members) { ranks_.setMembers(std::move(members)); }
 
   // Called several times a second. `is_isolated`: no other gateway is reachable, so this one uses its even
