--- /dev/null
+++ b/src/gateway/exchange_response.cc
@@ -0,0 +1,250 @@
+// Handles servers' responses and forwards them to the caller.
+#include <algorithm>
+#include <utility>
+
+#include "gateway/crash_detector.h"
+#include "gateway/exchange.h"
+
+namespace quincewick::gateway {
+namespace {
+
+using forwarding::AttemptOutcome;
+using forwarding::RepeatKind;
+using forwarding::ServerDirectory;
+
+constexpr size_t kMaxBufferedBytes = 262144;  // a longer response is streamed
+constexpr size_t kMaxUnsentBytes = 262144;    // to a slow caller, before reading pauses
+// A stream of fewer pieces rarely overlaps with events that cause pauses, such as the prefill of a long
+// prompt.
+constexpr uint32_t kMinPiecesForPauses = 4;
+constexpr double kRefusalWeight = 0.5;
+constexpr double kFailureWeight = 0.5;
+constexpr double kBrokenWeight = 1.0;
+constexpr int kFirstSuccess = 200;
+constexpr int kFirstRedirect = 300;
+constexpr int kFirstServerError = 500;
+
+}  // namespace
+
+Exchange::Verdict Exchange::judge(const HttpHead& head, const forwarding::ResponseFacts& facts) const {
+  if (facts.is_not_run || facts.is_other_server) {
+    return Verdict::kRefused;
+  }
+  const bool is_success = head.status >= kFirstSuccess && head.status < kFirstRedirect;
+  if (is_success && !facts.is_signed) {
+    return Verdict::kBroken;
+  }
+  if (forwarding::promisesNotRun(head.status)) {
+    return Verdict::kFailed;  // not confirmed by the server, so it can't be forwarded as "not run"
+  }
+  if (head.status >= kFirstServerError && ledger_.execution() != Execution::kNotRun &&
+      route_->mayRunAgain()) {
+    return Verdict::kFailed;
+  }
+  return Verdict::kForward;
+}
+
+void Exchange::onResponseHead(const HttpHead& head, const forwarding::ResponseFacts& facts) {
+  const absl::Time now = reactor::steadyNow();
+  response_head_ = head;
+  verdict_ = judge(head, facts);
+  const std::string* const length = findField(head.fields, "Content-Length");
+  response_length_ = length == nullptr ? std::nullopt : parseUnsigned(*length);
+  if (facts.weights_version && !facts_.model.empty()) {
+    if (ServerDirectory::noteVersion(*server_, facts_.model, *facts.weights_version)) {
+      core_.unreported_versions.push_back({server_->identity_hash, facts_.model, *facts.weights_version});
+    }
+  }
+  if (facts.is_other_server && facts.server_id && *facts.server_id != server_->entry.id) {
+    ServerDirectory::noteAddressReassigned(*server_, now);
+  }
+}
+
+void Exchange::onResponseBody(std::string bytes) {
+  const auto self = shared_from_this();
+  if (verdict_ == Verdict::kRefused || verdict_ == Verdict::kBroken) {
+    return;
+  }
+  const bool is_success = response_head_.status >= kFirstSuccess && response_head_.status < kFirstRedirect;
+  if (route_->kind == RepeatKind::kStream && is_success) {
+    forwardEvents(bytes);
+  } else {
+    bufferOrForward(std::move(bytes));
+  }
+  if (sink_ != nullptr && attempt_ != nullptr && sink_->unsentBytes() > kMaxUnsentBytes) {
+    attempt_->pause();
+  }
+}
+
+// Forwards only complete events, each once: an event that a server truncated never reaches the caller.
+void Exchange::forwardEvents(std::string_view bytes) {
+  std::string out;
+  for (const forwarding::StreamEvent& event : events_.take(bytes)) {
+    if (event.id && last_event_ && *event.id <= *last_event_) {
+      continue;
+    }
+    if (event.id) {
+      last_event_ = event.id;
+    }
+    out += event.bytes;
+  }
+  if (out.empty()) {
+    return;
+  }
+  onPromptRead();
+  recordPiece();
+  forwardHead();
+  if (sink_ != nullptr) {
+    sink_->sendBody(out);
+  }
+}
+
+// Prefill is done, and the request has a slot.
+void Exchange::onPromptRead() {
+  server_->own.prefill_tokens -= std::min(server_->own.prefill_tokens, counted_.prefill_tokens);
+  counted_.prefill_tokens = 0;
+  if (reservation_ && !is_prompt_read_) {
+    core_.occupancy->notePrefillDone(*reservation_);
+  }
+  is_prompt_read_ = true;
+  if (counted_.running == 0) {
+    ++server_->own.running;
+    counted_.running = 1;
+    if (core_.settings.placement.reserve_slots) {
+      reserveStarted();
+    }
+  }
+}
+
+void Exchange::recordPiece() {
+  const absl::Time now = reactor::steadyNow();
+  if (first_piece_ == absl::InfiniteFuture()) {
+    first_piece_ = now;
+    core_.metrics.observeFirstPiece(now - began_);
+  } else {
+    longest_pause_ = std::max(longest_pause_, now - last_piece_);
+  }
+  last_piece_ = now;
+  if (attempt_last_piece_ != absl::InfinitePast()) {
+    attempt_longest_pause_ = std::max(attempt_longest_pause_, now - attempt_last_piece_);
+  }
+  attempt_last_piece_ = now;
+  if (++attempt_pieces_ == kMinPiecesForPauses && engine_) {
+    core_.placement.notePauses(facts_.output_tokens);
+  }
+}
+
+// Longest gap of the current attempt, including the one still open, since an engine that went silent never
+// closes its gap. Zero if the attempt had too few pieces to characterize the engine.
+absl::Duration Exchange::longestPauseNow() const {
+  if (attempt_pieces_ < kMinPiecesForPauses) {
+    return absl::ZeroDuration();
+  }
+  return std::max(attempt_longest_pause_, reactor::steadyNow() - attempt_last_piece_);
+}
+
+void Exchange::forwardHead() {
+  if (is_head_forwarded_) {
+    return;
+  }
+  is_head_forwarded_ = true;
+  if (sink_ == nullptr) {
+    return;
+  }
+  HeaderFields fields;
+  const std::string* const connection = findField(response_head_.fields, "Connection");
+  for (const HeaderField& field : response_head_.fields) {
+    if (!isHopByHop(field.name, connection == nullptr ? "" : *connection) &&
+        findField({field}, "Content-Length") == nullptr) {
+      fields.push_back(field);
+    }
+  }
+  const bool is_stream = route_->kind == RepeatKind::kStream;
+  std::optional<uint64_t> length = is_stream ? std::nullopt : response_length_;
+  if (is_buffering_ && !is_stream) {
+    length = head_.method == "HEAD" ? response_length_ : std::optional<uint64_t>(buffered_body_.size());
+  }
+  sink_->sendHead(response_head_.status, response_head_.reason, std::move(fields), length);
+}
+
+void Exchange::bufferOrForward(std::string bytes) {
+  if (is_buffering_) {
+    buffered_body_ += bytes;
+    if (buffered_body_.size() <= kMaxBufferedBytes) {
+      return;
+    }
+    is_buffering_ = false;
+    verdict_ = Verdict::kForward;  // too long to buffer, so no other verdict is possible
+    bytes = std::exchange(buffered_body_, std::string());
+    forwardHead();
+  }
+  if (sink_ != nullptr) {
+    sink_->sendBody(bytes);
+  }
+}
+
+void Exchange::onResponseEnd() {
+  const auto self = shared_from_this();
+  const absl::Time now = reactor::steadyNow();
+  switch (verdict_) {
+    case Verdict::kRefused:
+      ServerDirectory::noteFailure(*server_, kRefusalWeight, now);
+      endAttempt(AttemptOutcome::kRefused);
+      return;
+    case Verdict::kBroken:
+      noteRolloutEnd(RolloutExchange::AttemptOutcome::kFailed);
+      ServerDirectory::noteFailure(*server_, kBrokenWeight, now);
+      endAttempt(AttemptOutcome::kUnknown);
+      return;
+    case Verdict::kFailed:
+      noteRolloutEnd(RolloutExchange::AttemptOutcome::kFailed);
+      ServerDirectory::noteFailure(*server_, kFailureWeight, now);
+      endAttempt(AttemptOutcome::kFailed);
+      return;
+    case Verdict::kForward:
+      break;
+  }
+  recordServerResult(now);
+  if (engine_ && first_piece_ != absl::InfiniteFuture()) {
+    core_.placement.noteServed(now - first_piece_);
+  }
+  if (response_head_.status >= kFirstSuccess && response_head_.status < kFirstRedirect) {
+    core_.crash_detector->noteServed(identity_);
+  }
+  forwardBufferedBody();
+  complete("answered");
+}
+
+// A 5xx response that is forwarded because the request may not run again still counts as a failure. Counted
+// as a fast response, it attracted all further requests to its server.
+void Exchange::recordServerResult(absl::Time now) {
+  if (response_head_.status >= kFirstServerError) {
+    noteRolloutEnd(RolloutExchange::AttemptOutcome::kFailed);
+    ServerDirectory::noteFailure(*server_, kFailureWeight, now);
+  } else {
+    noteRolloutEnd(RolloutExchange::AttemptOutcome::kAnswered);
+    ServerDirectory::noteSuccess(*server_, now - attempt_began_);
+  }
+}
+
+void Exchange::forwardBufferedBody() {
+  forwardHead();
+  if (sink_ == nullptr) {
+    return;
+  }
+  const std::string& remaining =
+      route_->kind == RepeatKind::kStream && buffered_body_.empty() ? events_.remainder() : buffered_body_;
+  if (!remaining.empty()) {
+    sink_->sendBody(remaining);
+  }
+}
+
+void Exchange::onResponseBroken() {
+  const auto self = shared_from_this();
+  noteRolloutEnd(RolloutExchange::AttemptOutcome::kFailed);
+  ServerDirectory::noteFailure(*server_, kBrokenWeight, reactor::steadyNow());
+  core_.crash_detector->onAttemptBroken(server_, identity_);
+  endAttempt(AttemptOutcome::kUnknown);
+}
+
+}  // namespace quincewick::gateway
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -10,10 +10,10 @@
 namespace quincewick::gateway {
 namespace {
 
-constexpr absl::Duration kTick = absl::Milliseconds(200);
-// Callers' entry asks each second and takes a gateway out after two answers that it is not ready. What still
-// comes after that is told at once to go elsewhere.
-constexpr absl::Duration kShortestStop = absl::Milliseconds(2600);
+constexpr absl::Duration kTickInterval = absl::Milliseconds(200);
+// The load balancer checks readiness each second and removes a gateway after two checks that fail. Requests
+// that still arrive after that are rejected at once.
+constexpr absl::Duration kMinStopTime = absl::Milliseconds(2600);
 constexpr absl::Duration kStopMargin = absl::Milliseconds(400);
 constexpr int kOk = 200;
 constexpr int kUnavailable = 503;
@@ -41,53 +41,53 @@
       server_rates_(core_, peer_directory_, peers_),
       occupancy_(core_, peer_directory_, peers_),
       crash_exchange_(core_, peer_directory_, peers_),
-      crashes_(core_, crash_exchange_),
+      crash_detector_(core_, crash_exchange_),
       rollouts_(core_, peers_),
-      rollout_director_(core_, peer_directory_, peers_, rollouts_),
+      rollout_controller_(core_, peer_directory_, peers_, rollouts_),
       relay_(core_, peer_directory_),
       follower_(core_, peer_directory_, peers_, relay_),
-      orders_(core_, peers_),
-      cache_stores_(core_, [this] { return follower_.readsWell(); }),
+      weight_loader_(core_, peers_),
+      cache_stores_(core_, [this] { return follower_.isZoneReader(); }),
       signals_(core_.reactor, SIGTERM, SIGINT, SIGHUP) {}
 
 Gateway::~Gateway() = default;
 
 Result<void> Gateway::start() {
   const GatewayListenSettings& listen = core_.settings.listen;
-  callers_ = std::make_unique<reactor::Listener>(
+  caller_listener_ = std::make_unique<reactor::Listener>(
       core_.reactor, listen.callers,
       [this](reactor::Connection::Socket socket) { acceptCaller(std::move(socket)); });
-  readiness_ = std::make_unique<reactor::PlainServer>(core_.reactor, listen.readiness,
-                                                      [this](const HttpHead&) { return answerReadiness(); });
+  readiness_server_ = std::make_unique<reactor::SimpleHttpServer>(
+      core_.reactor, listen.readiness, [this](const HttpHead&) { return handleReadiness(); });
   if (listen.metrics) {
-    metrics_ = std::make_unique<reactor::PlainServer>(core_.reactor, *listen.metrics,
-                                                      [this](const HttpHead&) { return answerMetrics(); });
+    metrics_server_ = std::make_unique<reactor::SimpleHttpServer>(
+        core_.reactor, *listen.metrics, [this](const HttpHead&) { return handleMetrics(); });
   }
-  const bool are_bound = callers_->isListening() && readiness_->isListening() &&
-                         (metrics_ == nullptr || metrics_->isListening());
+  const bool are_bound = caller_listener_->isListening() && readiness_server_->isListening() &&
+                         (metrics_server_ == nullptr || metrics_server_->isListening());
   if (!are_bound) {
-    return fail(ErrorCode::kUnavailable, "an address to listen at can't be bound");
+    return fail(ErrorCode::kUnavailable, "cannot bind a listen address");
   }
   core_.log.event("start", reactor::steadyNow()).with("zone", core_.settings.zone.value());
   awaitSignal();
   core_.quotas = &quotas_;
   core_.server_rates = &server_rates_;
   core_.occupancy = &occupancy_;
-  core_.crashes = &crashes_;
+  core_.crash_detector = &crash_detector_;
   quotas_.start();
   server_rates_.start();
   occupancy_.start();
-  crash_exchange_.start([this] { return follower_.readsWell(); });
+  crash_exchange_.start([this] { return follower_.isZoneReader(); });
   if (core_.settings.rollout_share > 0) {
     core_.rollouts = &rollouts_;
     rollouts_.start();
-    rollout_director_.start([this] { return follower_.readsWell(); });
+    rollout_controller_.start([this] { return follower_.isZoneReader(); });
   }
   follower_.start();
   startPeers();
-  orders_.start();
+  weight_loader_.start();
   cache_stores_.start();
-  tick();
+  onTick();
   return outcome::success();
 }
 
@@ -96,9 +96,10 @@
     core_.budget.noteNodes(1);
     return;
   }
-  peers_.setReading([this] { return follower_.readsWell(); }, [this] { return follower_.seeksReader(); });
+  peers_.setReaderStatus([this] { return follower_.isZoneReader(); },
+                         [this] { return follower_.seeksReader(); });
   if (relay_.listen(*core_.settings.listen.peers)) {
-    core_.settings.listen.peers->port = relay_.port();  // digests come to the same number
+    core_.settings.listen.peers->port = relay_.port();  // digests arrive at the same port number
   } else {
     core_.log.event("relay_unheard", reactor::steadyNow());
   }
@@ -112,14 +113,14 @@
 }
 
 bool Gateway::isReady() const {
-  return !core_.is_stopping && core_.in_force.configuration != nullptr && core_.knows_servers &&
+  return !core_.is_stopping && core_.in_force.configuration != nullptr && core_.has_server_list &&
          core_.keysAreConfirmed(reactor::steadyNow()) &&
-         (core_.rollouts == nullptr || core_.rollouts->knowsRecords());
+         (core_.rollouts == nullptr || core_.rollouts->hasRecords());
 }
 
 void Gateway::acceptCaller(reactor::Connection::Socket socket) {
   if (connections_.size() >= core_.settings.connections_at_most) {
-    return;  // closed before a byte of it is read
+    return;  // closes the socket unread
   }
   auto connection = std::make_shared<CallerConnection>(
       core_, pool_, std::move(socket), [this](CallerConnection* closed) { connections_.erase(closed); });
@@ -127,32 +128,32 @@
   connection->start();
 }
 
-reactor::PlainAnswer Gateway::answerReadiness() const {
-  reactor::PlainAnswer answer;
+reactor::SimpleHttpResponse Gateway::handleReadiness() const {
+  reactor::SimpleHttpResponse answer;
   answer.status = isReady() ? kOk : kUnavailable;
   return answer;
 }
 
-reactor::PlainAnswer Gateway::answerMetrics() {
+reactor::SimpleHttpResponse Gateway::handleMetrics() {
   const absl::Time now = reactor::steadyNow();
-  GatewayMetrics::Levels levels;
+  GatewayMetrics::Gauges gauges;
   if (core_.in_force.configuration != nullptr) {
-    levels.configuration_version = static_cast<double>(core_.in_force.configuration->version().value());
-    levels.configuration_age_seconds = absl::ToDoubleSeconds(now - core_.in_force.confirmed);
+    gauges.configuration_version = static_cast<double>(core_.in_force.configuration->version().value());
+    gauges.configuration_age_seconds = absl::ToDoubleSeconds(now - core_.in_force.confirmed);
   }
-  levels.holds_lease = orders_.holdsLease(now) ? 1 : 0;
-  levels.peers = static_cast<double>(peers_.livePeers(now).size());
-  levels.servers = static_cast<double>(core_.directory.all().size());
-  levels.servers_age_seconds = absl::ToDoubleSeconds(now - core_.servers_as_of);
-  levels.repeats_left = core_.budget.fewestLeft();
-  levels.requests_suspect = static_cast<double>(crash_exchange_.suspectCount());
-  levels.requests_blamed = static_cast<double>(crash_exchange_.blamedCount());
-  levels.rollouts_running = core_.rollouts != nullptr && core_.rollouts->isAnyRunning() ? 1 : 0;
-  levels.caller_connections = static_cast<double>(connections_.size());
-  levels.server_connections_opened = static_cast<double>(pool_.openedConnections());
-  levels.requests_under_way = static_cast<double>(core_.requests_under_way);
-  levels.log_lines_dropped = static_cast<double>(core_.log.droppedLines());
-  return {kOk, "text/plain; version=0.0.4", core_.metrics.print(levels)};
+  gauges.holds_lease = weight_loader_.holdsLease(now) ? 1 : 0;
+  gauges.peers = static_cast<double>(peers_.livePeers(now).size());
+  gauges.servers = static_cast<double>(core_.directory.all().size());
+  gauges.servers_age_seconds = absl::ToDoubleSeconds(now - core_.servers_as_of);
+  gauges.repeats_left = core_.budget.minimumLeft();
+  gauges.requests_suspect = static_cast<double>(crash_exchange_.suspectCount());
+  gauges.requests_blamed = static_cast<double>(crash_exchange_.quarantinedCount());
+  gauges.rollouts_running = core_.rollouts != nullptr && core_.rollouts->isAnyRunning() ? 1 : 0;
+  gauges.caller_connections = static_cast<double>(connections_.size());
+  gauges.server_connections_opened = static_cast<double>(pool_.openedConnections());
+  gauges.requests_under_way = static_cast<double>(core_.requests_under_way);
+  gauges.log_lines_dropped = static_cast<double>(core_.log.droppedLines());
+  return {kOk, "text/plain; version=0.0.4", core_.metrics.print(gauges)};
 }
 
 void Gateway::awaitSignal() {
@@ -169,7 +170,7 @@
   });
 }
 
-// A file that can't be read changes nothing: the process goes on with what it has.
+// If the file can't be read, the current settings stay in force.
 void Gateway::reload() {
   const std::optional<GatewaySettings> settings = reload_ ? reload_() : std::nullopt;
   core_.log.event("reload", reactor::steadyNow()).with("done", settings ? "true" : "false");
@@ -179,7 +180,7 @@
   }
 }
 
-void Gateway::stopInGoodOrder() {
+void Gateway::stopGracefully() {
   boost::asio::post(core_.reactor, [this] { beginStop(); });
 }
 
@@ -192,7 +193,7 @@
   core_.log.event("stopping", stop_began_).with("under_way", static_cast<int64_t>(core_.requests_under_way));
 }
 
-void Gateway::tick() {
+void Gateway::onTick() {
   const absl::Time now = reactor::steadyNow();
   pool_.sweep(now);
   if (std::exchange(was_ready_, isReady()) != isReady()) {
@@ -202,18 +203,19 @@
   if (core_.is_stopping) {
     checkStopped();
   }
-  core_.timers.schedule(now + kTick, [this] { tick(); });
+  core_.timers.schedule(now + kTickInterval, [this] { onTick(); });
 }
 
-// What is in hand is served to the end of the grace; idle connections stay until the entry has looked away.
+// Requests in progress are served until the end of the grace period; idle connections stay open until the
+// load balancer has removed this gateway.
 void Gateway::checkStopped() {
   const absl::Duration stopping = reactor::steadyNow() - stop_began_;
   const bool grace_is_over = stopping >= core_.settings.bounds.stop_grace - kStopMargin;
-  if (stopping < kShortestStop) {
+  if (stopping < kMinStopTime) {
     return;
   }
-  core_.refuses_requests = true;
-  callers_->close();
+  core_.rejects_requests = true;
+  caller_listener_->close();
   std::vector<std::shared_ptr<CallerConnection>> idle;
   for (const auto& [pointer, connection] : connections_) {
     if (!connection->isServing()) {
@@ -221,9 +223,10 @@
     }
   }
   for (const auto& connection : idle) {
-    connection->stopSoon();
+    connection->closeIfIdle();
   }
-  const bool is_done = core_.requests_under_way == 0 && !orders_.isCarryingOut(reactor::steadyNow());
+  const bool is_done =
+      core_.requests_under_way == 0 && !weight_loader_.hasPendingOrders(reactor::steadyNow());
   if (is_done || grace_is_over) {
     core_.log.event("stopped", reactor::steadyNow())
         .with("under_way", static_cast<int64_t>(core_.requests_under_way));
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,5 +1,5 @@
-// One gateway process: takes callers' connections, answers whether it is ready, follows the store, and stops
-// in good order. All of it runs on the thread that calls `run`.
+// A gateway process: accepts callers' connections, serves readiness and metrics, follows the store, and shuts
+// down gracefully. Everything runs on the thread that calls `run`.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -13,57 +13,56 @@
 #include "gateway/cache_store_watch.h"
 #include "gateway/caller_connection.h"
 #include "gateway/core.h"
+#include "gateway/crash_detector.h"
 #include "gateway/crash_exchange.h"
-#include "gateway/crash_watch.h"
 #include "gateway/occupancy_exchange.h"
-#include "gateway/order_giver.h"
 #include "gateway/peer_directory.h"
 #include "gateway/peer_exchange.h"
 #include "gateway/quota_exchange.h"
-#include "gateway/rollout_director.h"
+#include "gateway/rollout_controller.h"
 #include "gateway/rollout_exchange.h"
 #include "gateway/row_relay.h"
 #include "gateway/server_rates.h"
 #include "gateway/site_follower.h"
+#include "gateway/weight_loader.h"
 #include "reactor/connection.h"
-#include "reactor/plain_server.h"
+#include "reactor/simple_http_server.h"
 
 namespace quincewick::gateway {
 
 class Gateway {
  public:
-  // `log_descriptor`: where lines of the log go; -1: nowhere.
+  // `log_descriptor`: file descriptor for log lines; -1: no log.
   Gateway(GatewaySettings settings, std::unique_ptr<forwarding::Dialect> dialect, int log_descriptor);
   ~Gateway();
 
-  // Binds its addresses. Errors: kUnavailable.
+  // Binds the addresses and starts all parts. Errors: kUnavailable.
   Result<void> start();
-  // Serves until a signal to stop has been carried out.
+  // Serves until a graceful stop, requested by a signal, is complete.
   void run();
-  // Ends `run` soon; for tests.
+  // Makes `run` return without a graceful stop; for tests.
   void stop() { core_.reactor.stop(); }
-  // Begins the planned stop, as the signal does. From any thread.
-  void stopInGoodOrder();
-  // Where the settings come from when the signal to reload comes: nothing while they can't be read. Set
-  // before `run`.
+  // Starts the graceful stop, as SIGTERM does. Callable from any thread.
+  void stopGracefully();
+  // Reads the settings on SIGHUP; returns nothing if they can't be read. Set before `run`.
   using Reload = std::function<std::optional<GatewaySettings>()>;
   void setReload(Reload reload) { reload_ = std::move(reload); }
 
-  uint16_t callersPort() const { return callers_->port(); }
-  uint16_t readinessPort() const { return readiness_->port(); }
-  // 0: it tells no metrics.
-  uint16_t metricsPort() const { return metrics_ == nullptr ? 0 : metrics_->port(); }
+  uint16_t callersPort() const { return caller_listener_->port(); }
+  uint16_t readinessPort() const { return readiness_server_->port(); }
+  // 0: metrics are not served.
+  uint16_t metricsPort() const { return metrics_server_ == nullptr ? 0 : metrics_server_->port(); }
   bool isReady() const;
 
  private:
   void startPeers();
   void acceptCaller(reactor::Connection::Socket socket);
-  reactor::PlainAnswer answerReadiness() const;
-  reactor::PlainAnswer answerMetrics();
+  reactor::SimpleHttpResponse handleReadiness() const;
+  reactor::SimpleHttpResponse handleMetrics();
   void awaitSignal();
   void beginStop();
   void reload();
-  void tick();
+  void onTick();
   void checkStopped();
 
   Core core_;
@@ -74,17 +73,17 @@
   ServerRates server_rates_;
   OccupancyExchange occupancy_;
   CrashExchange crash_exchange_;
-  CrashWatch crashes_;
+  CrashDetector crash_detector_;
   RolloutExchange rollouts_;
-  RolloutDirector rollout_director_;
+  RolloutController rollout_controller_;
   RowRelay relay_;
   SiteFollower follower_;
-  OrderGiver orders_;
+  WeightLoader weight_loader_;
   CacheStoreWatch cache_stores_;
   boost::asio::signal_set signals_;
-  std::unique_ptr<reactor::Listener> callers_;
-  std::unique_ptr<reactor::PlainServer> readiness_;
-  std::unique_ptr<reactor::PlainServer> metrics_;
+  std::unique_ptr<reactor::Listener> caller_listener_;
+  std::unique_ptr<reactor::SimpleHttpServer> readiness_server_;
+  std::unique_ptr<reactor::SimpleHttpServer> metrics_server_;
   absl::flat_hash_map<CallerConnection*, std::shared_ptr<CallerConnection>> connections_;
   absl::Time stop_began_ = absl::InfiniteFuture();
   bool was_ready_ = false;
--- a/src/gateway/quota_exchange.h
+++ b/src/gateway/quota_exchange.h
@@ -1,5 +1,5 @@
-// Asks other gateways whether requests under a shared limit may start, and answers them, by datagrams: one of
-// these for each kind of limit.
+// Acquires shares of limits from the gateways that own the limits' accounts, and serves the accounts that
+// this gateway owns, by datagrams. There is one instance for each kind of limit.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -17,25 +17,26 @@
 
 class QuotaExchange {
  public:
-  // `module`: the messages of this kind of limit.
+  // `module`: envelope type of the messages of this kind of limit.
   QuotaExchange(Core& core, PeerDirectory& directory, PeerExchange& peers, peer::PeerModule module,
                 const quota::LimitTolerance& tolerance, quota::SharedQuotas::LimitOf limit_of,
-                quota::Unanswered unanswered = quota::Unanswered::kTakesShare);
+                quota::NoOwnerPolicy unanswered = quota::NoOwnerPolicy::kUseEvenShare);
 
   void start();
 
-  // Calls `decided` once, perhaps before this returns. Returns the number by which to `forget` it.
-  using Decided = std::function<void(const quota::QuotaDecision& decision)>;
-  uint64_t ask(const quota::LimitName& name, double cost, Decided decided);
-  void forget(uint64_t number);
-  // A request that was granted never ran.
-  void giveBack(const quota::LimitName& name, double cost, const NodeId& keeper);
+  // Requests `cost` of the limit, in its unit. Calls `on_decision` once, perhaps before this returns. Returns
+  // the request number to pass to `cancel`.
+  using DecisionCallback = std::function<void(const quota::QuotaDecision& decision)>;
+  uint64_t acquire(const quota::LimitName& name, double cost, DecisionCallback on_decision);
+  void cancel(uint64_t number);
+  // Returns a grant that was not used, as the request never ran.
+  void refund(const quota::LimitName& name, double cost, const NodeId& owner);
   void setTolerance(const quota::LimitTolerance& tolerance) { quotas_.setTolerance(tolerance); }
 
  private:
-  Result<void> take(const NodeId& from, std::string_view payload);
-  void carryOut(const quota::QuotaActions& actions);
-  void beat();
+  Result<void> receive(const NodeId& from, std::string_view payload);
+  void execute(const quota::QuotaActions& actions);
+  void heartbeat();
   void scheduleTick();
 
   Core& core_;
@@ -43,7 +44,7 @@
   PeerExchange& peers_;
   peer::PeerModule module_;
   quota::SharedQuotas quotas_;
-  absl::flat_hash_map<uint64_t, Decided> waiting_;
+  absl::flat_hash_map<uint64_t, DecisionCallback> waiting_;
   reactor::TimerQueue::Key timer_;
   absl::Time timer_at_ = absl::InfiniteFuture();
 };
--- a/src/gateway/rollout_messages.h
+++ b/src/gateway/rollout_messages.h
@@ -1,4 +1,4 @@
-// What gateways tell each other of a service's rollout. One datagram each, encoded by cereal.
+// Messages between gateways about a service's rollout: one datagram each, encoded by cereal.
 #pragma once
 
 #include <cstdint>
@@ -7,32 +7,35 @@
 #include <string_view>
 #include <vector>
 
-#include "staged_rollout/answer_account.h"
-#include "staged_rollout/traffic_gate.h"
+#include "staged_rollout/response_stats.h"
+#include "staged_rollout/traffic_splitter.h"
 #include "types/error.h"
 
 namespace quincewick::gateway {
 
-// A gateway's counts of some strata, told to the decider.
+// A gateway's response counts, sent to the decider. One message may hold only some of the strata, each of
+// which is a route under similar load (staged_rollout::Stratum).
 struct RolloutAccount {
   staged_rollout::ServiceName service;
-  uint64_t request_row = 0;    // of the rollout that it is about
-  uint64_t life = 0;           // differs with each start of the gateway: counts begin anew
-  uint64_t confirmed_row = 0;  // nothing of the gateway's runs at the base, nor will, by that record
-  staged_rollout::AnswerAccount counts;
+  uint64_t request_row = 0;  // row of the operator's request for the rollout
+  uint64_t incarnation = 0;  // changes with each start of the gateway, which resets the counts
+  // Row of the rollout record in the finishing stage under which the gateway has no requests at the baseline
+  // in progress and starts none.
+  uint64_t confirmed_row = 0;
+  staged_rollout::ResponseStats counts;
 };
 
-// One of the two.
+// Exactly one of the two is set.
 struct RolloutMessage {
   std::optional<staged_rollout::RolloutNotice> notice;  // from the decider
   std::optional<RolloutAccount> account;
 };
 
-// Cuts an account into as many as are needed for each to fit into a datagram.
-std::vector<RolloutAccount> cutIntoDatagrams(const RolloutAccount& account);
+// Splits an account into parts that each fit into a datagram.
+std::vector<RolloutAccount> splitIntoDatagrams(const RolloutAccount& account);
 
 std::string encodeRolloutMessage(const RolloutMessage& message);
-// Decodes untrusted bytes. Errors: kInvalidArgument, also for a later form than the one that is known.
+// Decodes untrusted bytes. Errors: kInvalidArgument, also for an unknown format version.
 Result<RolloutMessage> decodeRolloutMessage(std::string_view bytes);
 
 }  // namespace quincewick::gateway
--- a/src/gateway/row_relay.h
+++ b/src/gateway/row_relay.h
@@ -1,5 +1,5 @@
-// Answers peers' questions after the rows that this gateway reads from the store, so that a zone needs one
-// reader. A question is held until there is something to tell.
+// Serves the rows that this gateway reads from the store to its zone's followers, so that a zone needs one
+// reader. Requests are long polls: each is held until there is an update or its wait ends.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -14,8 +14,8 @@
 #include "gateway/core.h"
 #include "gateway/peer_directory.h"
 #include "gateway/relay_messages.h"
-#include "gateway/whole_answers.h"
-#include "reactor/plain_server.h"
+#include "gateway/snapshot_limiter.h"
+#include "reactor/simple_http_server.h"
 
 namespace quincewick::gateway {
 
@@ -23,59 +23,59 @@
  public:
   RowRelay(Core& core, PeerDirectory& peers) : core_(core), peers_(peers) {}
 
-  // Listens at the address for peers; false: it can't be bound.
+  // Listens on the peer address. Returns false if it can't be bound.
   bool listen(const Address& address);
-  // The port that it listens at.
+  // The port that it listens on.
   uint16_t port() const { return server_->port(); }
-  // Answers about the table from this cache, which outlives the relay.
+  // Serves the table from this cache, which must outlive the relay.
   void offer(const std::string& table, const forwarding::RowCache* cache);
-  // The table's cache took something in: whoever waits for that is answered.
-  void tell(const std::string& table);
-  // Whether this gateway reads, and so answers.
-  void setAnswering(bool answers) { answers_ = answers; }
-  // This gateway reads no more: whoever waits is sent away.
-  void sendAway();
+  // Called after an update of the table's cache: responds to the requests waiting for it.
+  void notifyFollowers(const std::string& table);
+  // Whether this gateway is a reader and so serves requests.
+  void setServing(bool is_serving) { is_serving_ = is_serving; }
+  // Called when this gateway stops reading: refuses all waiting requests.
+  void refuseAll();
 
  private:
-  struct Held {
-    RelayQuestion question;
+  struct PendingRequest {
+    RelayRequest request;
     bool wants_packed = false;
-    NodeId asker;
-    Sequence sequence;  // of the sealed question
-    absl::Time came;
-    reactor::PlainServer::Respond respond;
+    NodeId requester;
+    Sequence sequence;  // of the sealed request
+    absl::Time received_at;
+    reactor::SimpleHttpServer::Respond respond;
     reactor::TimerQueue::Key wait;
   };
 
-  void takeQuestion(const HttpHead& head, const std::string& body,
-                    const reactor::PlainServer::Respond& respond);
-  void hold(Held held);
-  void answerWaitingForWhole();
-  // Whether the answer is a large table as a whole, of which only so many go out at once.
-  bool isLargeWhole(const Held& held) const;
-  RelayAnswer answerWithoutRows(const Held& held, absl::Time now) const;
-  std::string plainAnswer(const Held& held, absl::Time now) const;
-  std::string packedAnswer(const Held& held, absl::Time now);
-  const std::string& packedRowsFor(const RelayQuestion& question);
-  bool hasNews(const RelayQuestion& question) const;
-  void answer(Held& held);
-  void refuse(const reactor::PlainServer::Respond& respond, int status) const;
+  void handleRequest(const HttpHead& head, const std::string& body,
+                     const reactor::SimpleHttpServer::Respond& respond);
+  void enqueue(PendingRequest pending);
+  void sendWaitingSnapshots();
+  // Whether the response is a snapshot of a large table, of which only a limited number are sent at once.
+  bool isLargeSnapshot(const PendingRequest& pending) const;
+  RelayResponse responseWithoutRows(const PendingRequest& pending, absl::Time now) const;
+  std::string plainResponse(const PendingRequest& pending, absl::Time now) const;
+  std::string packedResponse(const PendingRequest& pending, absl::Time now);
+  const std::string& packedRowsFor(const RelayRequest& request);
+  bool hasUpdate(const RelayRequest& request) const;
+  void sendResponse(PendingRequest& pending);
+  void refuse(const reactor::SimpleHttpServer::Respond& respond, int status) const;
 
   Core& core_;
   PeerDirectory& peers_;
-  std::unique_ptr<reactor::PlainServer> server_;
+  std::unique_ptr<reactor::SimpleHttpServer> server_;
   absl::flat_hash_map<std::string, const forwarding::RowCache*> caches_;  // by table
-  std::list<Held> held_;
-  std::list<Held> waiting_for_whole_;
-  WholeAnswers whole_answers_;
-  // Rows packed for those who know all up to `after`, of the table as it is now.
+  std::list<PendingRequest> pending_;
+  std::list<PendingRequest> waiting_for_snapshot_;
+  SnapshotLimiter snapshot_limiter_;
+  // The packed rows for followers that have all changes up to `after`, at the table's current version.
   struct Packed {
     uint64_t after = 0;
     uint64_t version = 0;
     std::string bytes;
   };
   absl::flat_hash_map<std::string, std::deque<Packed>> packed_;  // by table
-  bool answers_ = false;
+  bool is_serving_ = false;
 };
 
 }  // namespace quincewick::gateway
--- /dev/null
+++ b/src/gateway/snapshot_reader.h
@@ -0,0 +1,43 @@
+// Reads a snapshot of a table of the store, page by page.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <string>
+#include <vector>
+
+#include "gateway/core.h"
+#include "gateway/store_client.h"
+
+namespace quincewick::gateway {
+
+struct TableSnapshot {
+  std::vector<forwarding::StoreRow> rows;
+  // The store's version as of the first page. Rows may change while later pages are read; these changes are
+  // part of the deltas after this version.
+  uint64_t version = 0;
+  // The store's clock at the last page. PeerDirectory derives this gateway's incarnation from it.
+  absl::Duration clock;
+};
+
+class SnapshotReader {
+ public:
+  // `table` is complete if the status is kDone, otherwise empty.
+  using Done = std::function<void(StoreStatus status, TableSnapshot table)>;
+
+  explicit SnapshotReader(Core& core) : store_(core) {}
+
+  // `page_limit`: timeout of each page.
+  void read(const std::string& table, Done done, absl::Duration page_limit = StoreClient::kCallLimit);
+  // Cancels the read in progress: `done` is not called.
+  void cancel() { ++generation_; }
+
+ private:
+  void readPage(const std::string& name, const std::string& from, absl::Duration limit, TableSnapshot table,
+                Done done);
+
+  StoreClient store_;
+  uint64_t generation_ = 0;  // incremented with each read and cancellation, to discard late responses
+};
+
+}  // namespace quincewick::gateway
--- a/src/gateway/weights_record.cc
+++ b/src/gateway/weights_record.cc
@@ -13,7 +13,7 @@
   if (separator == std::string::npos) {
     return std::nullopt;
   }
-  const std::optional<uint64_t> version = parseWhole(std::string_view(key).substr(separator + 1));
+  const std::optional<uint64_t> version = parseUnsigned(std::string_view(key).substr(separator + 1));
   if (!version) {
     return std::nullopt;
   }
@@ -22,20 +22,20 @@
 
 }  // namespace
 
-void WeightsRecord::take(const forwarding::TableNews& news) {
+void WeightsRecord::applyUpdate(const forwarding::TableUpdate& update) {
   const absl::Time now = reactor::steadyNow();
   const std::optional<absl::Duration> store_clock = core_.storeClock(now);
   if (!store_clock) {
     core_.log.event("weights_record_unread", now).with("why", "the store's clock is not known yet");
     return;
   }
-  for (const forwarding::StoreRow& row : news.rows) {
+  for (const forwarding::StoreRow& row : update.rows) {
     const auto weights = parseKey(row.key);
-    const auto named_at = parseWhole(row.value);
+    const auto named_at = parseUnsigned(row.value);
     if (row.is_gone) {
       refused_rows_.forget(row.key);
     } else if (!weights || !named_at) {
-      refused_rows_.note(row.key, "no version of a model, or no time at which it was named");
+      refused_rows_.note(row.key, "the row is not a weights version with its publication time");
     } else {
       const absl::Duration age = *store_clock - absl::Milliseconds(*named_at);
       core_.weights.note(*weights, now - age);
@@ -43,7 +43,7 @@
   }
 }
 
-// All readers of the store try; the first one's row stands.
+// All zone readers attempt the write; the first row is kept.
 void WeightsRecord::record(const forwarding::NamedWeights& weights, std::function<void()> written) {
   const std::optional<absl::Duration> clock = core_.storeClock(reactor::steadyNow());
   if (!clock) {
--- a/src/prefix/trunk_index.h
+++ b/src/prefix/prefix_index.h
@@ -1,14 +1,15 @@
-// What a node believes of its engines' caches: a bounded index from blocks to the engines that hold them.
+// A node's view of its engines' caches: a bounded index from blocks to the engines that are believed to hold
+// them.
 //
-// Beliefs come from three sources: cache events (late, with gaps), answers (the engine now holds the whole
-// prompt) and dispatches (it soon will). A belief belongs to an engine's incarnation: `reset` voids all of an
-// engine at once, in constant time. A gap in an engine's event sequence makes what was believed of it before
-// doubtful; reading the gap again, from `resumeAfter`, makes it certain. Beliefs only steer placement, so a
-// wrong one costs time, never correctness.
+// Beliefs come from three sources: cache events (late, with gaps), responses (the engine now holds the whole
+// prompt) and dispatches (it soon will). A belief belongs to an engine's incarnation: `reset` voids all
+// beliefs of an engine in constant time. A gap in an engine's event sequence makes the earlier beliefs of it
+// doubtful; reading the gap again, from `resumeAfter`, makes them certain. Beliefs only affect placement, so
+// a wrong one costs time, never correctness.
 //
-// The number of blocks is limited. A full index gives up the block with the fewest recent requests among a
-// few under a moving hand, and refuses a newcomer that has fewer still. At scale it keeps one block in
-// `sampling`, chosen by key, so that all nodes keep the same ones.
+// The number of blocks is bounded. A full index evicts the block with the fewest recent requests among the
+// next few at a clock hand, and rejects a new block that has fewer still. At scale it keeps one block in
+// `sampling`, selected by key, so that all nodes keep the same ones.
 //
 // Not thread-safe.
 #pragma once
@@ -27,8 +28,8 @@
 
 namespace quincewick::prefix {
 
-// A small number that stands for an engine; given by the engine directory, used again after removal.
-enum class EngineSlot : uint16_t {};
+// A small number that identifies an engine; assigned by the engine directory and reused after removal.
+enum class EngineNumber : uint16_t {};
 
 enum class CacheEventKind : uint8_t { kStored, kEvicted };
 
@@ -39,65 +40,65 @@
   BlockKey block;
 };
 
-struct TrunkIndexSettings {
+struct PrefixIndexSettings {
   size_t maximum_blocks = 65536;
   uint32_t sampling = 1;                         // keeps one block in this many; at least 1
   absl::Duration half_life = absl::Seconds(20);  // of request counts
 };
 
-// What the index knows of one prompt.
-struct TrunkView {
+// The index's view of one prompt.
+struct PrefixView {
   struct Holder {
-    EngineSlot engine{};
-    uint32_t certain_blocks = 0;   // leading blocks believed to be held
-    uint32_t possible_blocks = 0;  // the same, counting doubtful beliefs; at least certain_blocks
+    EngineNumber engine{};
+    uint32_t certain_blocks = 0;   // leading blocks with certain beliefs
+    uint32_t possible_blocks = 0;  // the same, including doubtful beliefs; at least certain_blocks
   };
   std::vector<Holder> holders;  // engines believed to hold the first known block, by slot
-  std::vector<float> requests;  // for each block: recent requests that went through it, this one excluded
-  float all_requests = 0;       // recent requests altogether, this one excluded
+  std::vector<float> requests;  // for each block: recent requests containing it, this one excluded
+  float all_requests = 0;       // all recent requests, this one excluded
 };
 
 // Counts for metrics.
-struct TrunkIndexCounters {
+struct PrefixIndexCounters {
   uint64_t events = 0;
   uint64_t duplicate_events = 0;
   uint64_t gaps = 0;
-  uint64_t evicted_blocks = 0;  // given up for want of room
-  uint64_t refused_blocks = 0;  // newcomers that found no room
+  uint64_t evicted_blocks = 0;  // evicted because the index was full
+  uint64_t refused_blocks = 0;  // new blocks that were rejected because the index was full
 };
 
-class TrunkIndex {
+class PrefixIndex {
  public:
-  explicit TrunkIndex(const TrunkIndexSettings& settings);
-  TrunkIndex(const TrunkIndex&) = delete;
-  TrunkIndex& operator=(const TrunkIndex&) = delete;
+  explicit PrefixIndex(const PrefixIndexSettings& settings);
+  PrefixIndex(const PrefixIndex&) = delete;
+  PrefixIndex& operator=(const PrefixIndex&) = delete;
 
-  // Voids everything believed of the engine; its events start over from sequence 1.
-  void reset(EngineSlot engine);
+  // Voids all beliefs of the engine; its events start again from sequence 1.
+  void reset(EngineNumber engine);
 
-  // Takes cache events in the order of their sequences. Known ones are skipped. Returns true where events are
-  // missing: the caller should read again from `resumeAfter`. A gap is reported once; if reading again does
-  // not fill it, what it hid stays doubtful.
-  bool apply(EngineSlot engine, absl::Span<const CacheEvent> events, absl::Time now);
+  // Applies cache events in the order of their sequences, skipping those already applied. Returns true if
+  // events are missing: the caller should read again from `resumeAfter`. A gap is reported once; if reading
+  // again doesn't fill it, earlier beliefs stay doubtful.
+  bool apply(EngineNumber engine, absl::Span<const CacheEvent> events, absl::Time now);
 
   // The sequence after which events should be read next.
-  Sequence resumeAfter(EngineSlot engine) const;
+  Sequence resumeAfter(EngineNumber engine) const;
 
   // The engine holds, or will soon hold, all blocks of the chain.
-  void recordHeld(EngineSlot engine, const PrefixChain& chain, absl::Time now);
+  void recordHeld(EngineNumber engine, const PrefixChain& chain, absl::Time now);
 
-  // The engine did not come to hold the chain's blocks from `first_block` on, though recordHeld said so.
-  void recordLost(EngineSlot engine, const PrefixChain& chain, size_t first_block);
+  // The engine doesn't hold the chain's blocks from `first_block` on, contrary to an earlier recordHeld.
+  void recordLost(EngineNumber engine, const PrefixChain& chain, size_t first_block);
 
-  // Counts a request through the chain's blocks, and returns what is known of them.
-  TrunkView observe(const PrefixChain& chain, absl::Time now);
+  // Counts a request for the chain's blocks and returns the view from before it.
+  PrefixView observe(const PrefixChain& chain, absl::Time now);
 
-  // As `observe`, without counting.
-  TrunkView view(const PrefixChain& chain, absl::Time now) const;
+  // Like `observe`, without counting.
+  PrefixView view(const PrefixChain& chain, absl::Time now) const;
 
   size_t size() const { return entries_.size(); }
-  const TrunkIndexCounters& counters() const { return counters_; }
-  // Bytes held now, without what the allocator adds.
+  const PrefixIndexCounters& counters() const { return counters_; }
+  // Bytes in use, without the allocator's overhead.
   size_t memoryBytes() const;
 
  private:
@@ -109,7 +110,7 @@
 
   // An engine and the epoch of its state in which it was believed to hold the block.
   struct Belief {
-    EngineSlot engine{};
+    EngineNumber engine{};
     uint16_t epoch = 0;
   };
   static constexpr size_t kInlineBeliefs = 4;
@@ -126,7 +127,7 @@
     uint16_t certain_since = 0;
     uint16_t valid_since = 0;
     uint64_t next_sequence = 1;
-    uint16_t settled_since = 0;         // beliefs since this epoch are certain once the open gap is filled
+    uint16_t settled_since = 0;         // beliefs since this epoch become certain once the open gap is filled
     std::optional<uint64_t> gap_begin;  // the first missing sequence, while reading again may fill it
     uint64_t gap_end = 0;               // the first sequence known after the gap
   };
@@ -148,34 +149,34 @@
     bool operator()(uint64_t key, uint32_t number) const { return (*entries)[number].key == key; }
   };
 
-  bool sampled(const BlockKey& block) const { return block.high % settings_.sampling == 0; }
-  EngineState& state(EngineSlot engine);
+  bool isSampled(const BlockKey& block) const { return block.high % settings_.sampling == 0; }
+  EngineState& state(EngineNumber engine);
   Confidence confidence(const Belief& belief) const;
   const Entry* find(const BlockKey& block) const;
-  Entry* findOrMake(const BlockKey& block, float requests, absl::Time now);
+  Entry* findOrInsert(const BlockKey& block, float requests, absl::Time now);
   bool makeRoom(float newcomer_requests, absl::Time now);
   void removeEntry(uint32_t number);
-  void believe(EngineSlot engine, const BlockKey& block, absl::Time now);
-  void disbelieve(EngineSlot engine, const BlockKey& block);
-  bool applyOne(EngineSlot engine, const CacheEvent& event, absl::Time now);
+  void addBelief(EngineNumber engine, const BlockKey& block, absl::Time now);
+  void removeBelief(EngineNumber engine, const BlockKey& block);
+  bool applyOne(EngineNumber engine, const CacheEvent& event, absl::Time now);
   void noteGap(EngineState& engine, uint64_t sequence);
   static void fillGap(EngineState& engine);
   static void abandonGap(EngineState& engine);
-  TrunkView emptyView(const PrefixChain& chain, uint32_t now_tick) const;
+  PrefixView emptyView(const PrefixChain& chain, uint32_t now_tick) const;
   uint32_t addBlock(const Entry* entry, uint32_t depth, uint32_t known_blocks, uint32_t now_tick,
-                    TrunkView& result) const;
-  void mergeBeliefs(const Entry& entry, uint32_t known_blocks, uint32_t depth, TrunkView& result) const;
+                    PrefixView& result) const;
+  void mergeBeliefs(const Entry& entry, uint32_t known_blocks, uint32_t depth, PrefixView& result) const;
   uint32_t tick(absl::Time now) const;
   float countAt(const DecayingCount& count, uint32_t tick) const;
   void addOne(DecayingCount& count, uint32_t tick) const;
 
-  TrunkIndexSettings settings_;
+  PrefixIndexSettings settings_;
   std::vector<Entry> entries_;
   absl::flat_hash_set<uint32_t, NumberHash, NumberEqual> numbers_;
   std::vector<EngineState> engines_;
   DecayingCount all_requests_;
-  uint32_t hand_ = 0;
-  TrunkIndexCounters counters_;
+  uint32_t clock_hand_ = 0;
+  PrefixIndexCounters counters_;
 };
 
 }  // namespace quincewick::prefix
--- a/src/quota/quota_account.h
+++ b/src/quota/quota_account.h
@@ -1,9 +1,9 @@
-// What is left of one limit, as its keeper books it. Pure; `now` never goes back.
+// Token bucket of one limit, held by the limit's owner. Pure; `now` never goes back.
 //
-// A bucket that fills at the limit's rate. Half of the tolerance is room in the bucket; the other half covers
-// what keepers that follow one another give out besides each other. The first in rank begins with a full
-// bucket, one that stands in with an eighth of the tolerance, to which it falls back after a second in which
-// nobody asked: another may have kept the books.
+// The bucket fills at the limit's rate. Half of the tolerance is headroom in the bucket; the other half
+// covers what two owners grant at the same time while one succeeds the other. The first in rank starts with a
+// full bucket. A stand-in starts with an eighth of the tolerance and falls back to that after a second
+// without requests, because another node may have owned the limit meanwhile.
 #pragma once
 
 #include <absl/time/time.h>
@@ -14,37 +14,40 @@
 
 struct QuotaVerdict {
   bool is_granted = false;
-  absl::Duration retry_after;  // where it was denied: when so much will have come free
+  absl::Duration retry_after;  // if denied: when the requested amount will be available
 };
 
-// What a keeper may give out.
-struct KeeperRights {
-  double part = 1;       // of the limit's rate
-  bool may_save = true;  // for bursts; false: another kept the books of late, and may have given the same out
-  bool is_first = true;  // in rank: where nobody asked this one, nobody asked at all
-  double beginning = 1;  // of what a keeper that follows another begins with
-
-  static KeeperRights full() { return {}; }
+// How much of a limit an owner may grant.
+struct OwnerAllowance {
+  double rate_fraction = 1;  // of the limit's rate
+  // Whether unused rate accumulates for bursts. False: another node owned the limit recently and may have
+  // granted the same amount.
+  bool may_accumulate = true;
+  // No node ranks before this one, so a second without requests does not mean that another owner was asked.
+  bool is_first_in_rank = true;
+  double initial_fraction = 1;  // of the balance that a succeeding owner starts with
+
+  static OwnerAllowance full() { return {}; }
 };
 
 class QuotaAccount {
  public:
-  // Takes `cost`, or nothing. More than can be saved up may be taken on credit from a bucket that holds what
-  // a new keeper begins with.
-  QuotaVerdict take(double cost, const RateLimit& limit, const LimitTolerance& tolerance,
-                    const KeeperRights& rights, absl::Time now);
-  // Puts back what was taken for a request that never ran.
-  void putBack(double cost) { balance_ += cost; }
+  // Consumes `cost` or nothing. A cost above the initial balance of a succeeding owner is granted on credit
+  // as soon as the bucket holds that initial balance.
+  QuotaVerdict tryConsume(double cost, const RateLimit& limit, const LimitTolerance& tolerance,
+                          const OwnerAllowance& allowance, absl::Time now);
+  // Returns what was consumed for a request that never ran.
+  void refund(double cost) { balance_ += cost; }
 
-  absl::Time lastAsked() const { return last_asked_; }
+  absl::Time lastRequest() const { return last_request_; }
 
  private:
-  void accrue(const RateLimit& limit, const LimitTolerance& tolerance, const KeeperRights& rights,
+  void accrue(const RateLimit& limit, const LimitTolerance& tolerance, const OwnerAllowance& allowance,
               absl::Time now);
 
-  double balance_ = 0;   // negative: owed
-  double promised_ = 0;  // to those that were told when to come back, and may not have come yet
-  absl::Time last_asked_ = absl::InfinitePast();
+  double balance_ = 0;   // negative: granted on credit
+  double deferred_ = 0;  // cost of denied requests that may still be waiting for their retry time
+  absl::Time last_request_ = absl::InfinitePast();
 };
 
 }  // namespace quincewick::quota
--- a/tests/gateway/rollout_messages_test.cc
+++ b/tests/gateway/rollout_messages_test.cc
@@ -13,30 +13,30 @@
   RolloutAccount account;
   account.service = staged_rollout::ServiceName("pool");
   account.request_row = 5;
-  account.life = 6;
+  account.incarnation = 6;
   account.confirmed_row = 7;
   for (size_t number = 0; number < strata; ++number) {
     const staged_rollout::Stratum stratum{number, number % 2 == 0};
     for (int answer = 1; answer < 2000; answer *= 2) {
-      account.counts.noteAnswer(staged_rollout::Side::kBase, stratum, absl::Milliseconds(answer));
+      account.counts.noteResponse(staged_rollout::Variant::kBaseline, stratum, absl::Milliseconds(answer));
     }
-    account.counts.noteFailure(staged_rollout::Side::kTarget, stratum);
+    account.counts.noteFailure(staged_rollout::Variant::kTarget, stratum);
   }
   return account;
 }
 
-TEST_CASE("a notice and an account read back as they were written") {
+TEST_CASE("a notice and an account decode to what was encoded") {
   staged_rollout::RolloutNotice notice;
   notice.known.record.service = staged_rollout::ServiceName("pool");
   notice.known.record.base = SoftwareVersion("v1");
   notice.known.row = 9;
   notice.stops_target = true;
-  const auto told = decodeRolloutMessage(encodeRolloutMessage({notice, std::nullopt}));
-  REQUIRE(told.has_value());
-  REQUIRE(told.value().notice.has_value());
-  CHECK(told.value().notice->known.record == notice.known.record);
-  CHECK(told.value().notice->known.row == 9);
-  CHECK(told.value().notice->stops_target);
+  const auto decoded = decodeRolloutMessage(encodeRolloutMessage({notice, std::nullopt}));
+  REQUIRE(decoded.has_value());
+  REQUIRE(decoded.value().notice.has_value());
+  CHECK(decoded.value().notice->known.record == notice.known.record);
+  CHECK(decoded.value().notice->known.row == 9);
+  CHECK(decoded.value().notice->stops_target);
   const RolloutAccount written = account(3);
   const std::string bytes = encodeRolloutMessage({std::nullopt, written});
   const auto read = decodeRolloutMessage(bytes);
@@ -50,12 +50,12 @@
   }
 }
 
-TEST_CASE("a large account is cut into datagrams, and none of it is lost") {
+TEST_CASE("a large account is split into datagrams without loss") {
   const RolloutAccount whole = account(40);
-  staged_rollout::AnswerAccount together;
-  for (const RolloutAccount& part : cutIntoDatagrams(whole)) {
+  staged_rollout::ResponseStats together;
+  for (const RolloutAccount& part : splitIntoDatagrams(whole)) {
     CHECK(encodeRolloutMessage({std::nullopt, part}).size() <= peer::kMaximumDatagramPayload);
-    CHECK(part.life == whole.life);
+    CHECK(part.incarnation == whole.incarnation);
     together.base.insert(part.counts.base.begin(), part.counts.base.end());
     together.target.insert(part.counts.target.begin(), part.counts.target.end());
   }
@@ -63,7 +63,7 @@
   CHECK(together.target == whole.counts.target);
 }
 
-TEST_CASE("whatever bytes come as a message of a rollout, they are read or refused") {
+TEST_CASE("arbitrary bytes as a rollout message are either decoded or refused") {
   CHECK(rc::check([](const std::string& bytes) {
     const auto read = decodeRolloutMessage(bytes);
     RC_ASSERT(read.has_error() != read.has_value());
--- a/tests/gateway/staged_rollout_test.cc
+++ b/tests/gateway/staged_rollout_test.cc
@@ -1,5 +1,5 @@
-// A rollout at one gateway on loopback: the operator's row, servers of two versions, the status that the
-// operator reads.
+// A rollout at one gateway over loopback: the operator's row, servers of two versions, and the status row for
+// the operator.
 #include <algorithm>
 #include <catch2/catch.hpp>
 
@@ -16,7 +16,7 @@
   return settings;
 }
 
-size_t askedOf(const StandInSite& site, const std::string& server) {
+size_t requestsTo(const StandInSite& site, const std::string& server) {
   const std::vector<Seen> seen = site.seen();
   return static_cast<size_t>(
       std::count_if(seen.begin(), seen.end(), [&server](const Seen& one) { return one.server == server; }));
@@ -28,7 +28,7 @@
   }
 }
 
-// A server of the version that is there, and one of a version whose answers are all failures.
+// A server of the current version, and one of a version that fails every request.
 void addBadVersion(StandInSite& site) {
   site.addServer("old", [](const Seen& /*seen*/) { return Script{signedAnswer("")}; });
   site.addServer(
@@ -39,30 +39,31 @@
       "[]", "v2");
 }
 
-TEST_CASE_METHOD(Fixture,
-                 "a bad version gets nothing before it is asked for, little then, and nothing afterwards") {
+TEST_CASE_METHOD(
+    Fixture,
+    "a bad version gets no requests before the rollout, few during it, and none after the rollback") {
   addBadVersion(site);
   const RunningGateway gateway(movingVersions(site));
   await([this] { return site.hasRows("gateway-rollouts"); });
   ask(gateway, 100);
-  CHECK(askedOf(site, "new") == 0);
+  CHECK(requestsTo(site, "new") == 0);
   site.setRow("op", "rollout/pool", kRequest);
   await([&] {
     ask(gateway, 100);
     return has(site.row("status", "rollout/pool"), "rolled_back");
   });
   CHECK(has(site.row("status", "rollout/pool"), R"("targetVersion":"v2")"));
-  const size_t asked = askedOf(site, "new");
-  CHECK(asked > 0);
-  CHECK(asked * 10 <= site.seen().size());
+  const size_t during_rollout = requestsTo(site, "new");
+  CHECK(during_rollout > 0);
+  CHECK(during_rollout * 10 <= site.seen().size());
   ask(gateway, 200);
-  CHECK(askedOf(site, "new") == asked);
-  CHECK(askedOf(site, "old") > 0);
+  CHECK(requestsTo(site, "new") == during_rollout);
+  CHECK(requestsTo(site, "old") > 0);
 }
 
-// A request for the version that is tried already goes on with it; what was seen of that version still
-// counts. Here it comes with each reading of the store, more often than a verdict takes.
-TEST_CASE_METHOD(Fixture, "bad answers still count where the operator asks for the same version again") {
+// Guards against losing a rollout's counts when the operator's request for the same version is written again.
+// Here it is rewritten more often than a verdict takes.
+TEST_CASE_METHOD(Fixture, "failures still count when the operator requests the same version again") {
   constexpr size_t kFarTooMany = 1000;
   addBadVersion(site);
   GatewaySettings settings = movingVersions(site);
@@ -73,12 +74,12 @@
     site.setRow("op", "rollout/pool", kRequest);
     ask(gateway, 20);
     const bool is_over = has(site.row("status", "rollout/pool"), "rolled_back");
-    return is_over || askedOf(site, "new") >= kFarTooMany;
+    return is_over || requestsTo(site, "new") >= kFarTooMany;
   });
-  CHECK(askedOf(site, "new") < kFarTooMany);
+  CHECK(requestsTo(site, "new") < kFarTooMany);
 }
 
-TEST_CASE_METHOD(Fixture, "a request that can't be read, or is of another service, changes nothing") {
+TEST_CASE_METHOD(Fixture, "an unreadable rollout request, or one of another service, changes nothing") {
   site.addServer("old", [](const Seen& /*seen*/) { return Script{signedAnswer("")}; });
   site.addServer(
       "new", [](const Seen& /*seen*/) { return Script{signedAnswer("")}; }, "[]", "v2");
@@ -87,11 +88,11 @@
   const RunningGateway gateway(movingVersions(site));
   await([this] { return site.hasRows("gateway-rollouts"); });
   ask(gateway, 200);
-  CHECK(askedOf(site, "new") == 0);
+  CHECK(requestsTo(site, "new") == 0);
   CHECK_FALSE(site.hasRows("status"));
 }
 
-TEST_CASE_METHOD(Fixture, "where versions don't matter, servers of any are used and no row is written") {
+TEST_CASE_METHOD(Fixture, "without staged rollouts, servers of all versions are used and no row is written") {
   site.addServer("old", [](const Seen& /*seen*/) {
     return Script{answerOf(503, {{"Quincewick-Not-Executed", "1"}}, "")};
   });
@@ -100,7 +101,7 @@
   site.setRow("op", "rollout/pool", kRequest);
   const RunningGateway gateway(site);
   ask(gateway, 5);
-  CHECK(askedOf(site, "new") > 0);
+  CHECK(requestsTo(site, "new") > 0);
   CHECK_FALSE(site.hasRows("gateway-rollouts"));
 }
 
--- a/tests/reactor/connection_test.cc
+++ b/tests/reactor/connection_test.cc
@@ -12,29 +12,29 @@
 
 using boost::asio::ip::tcp;
 
-int optionOf(int descriptor, int level, int name) {
+int socketOption(int descriptor, int level, int name) {
   int value = -1;
   socklen_t size = sizeof(value);
   getsockopt(descriptor, level, name, &value, &size);
   return value;
 }
 
-// Finding F18: a stream whose engine lost power in the middle waited for its request's deadline, for nothing
-// of the gateway's own was left to be acknowledged.
-TEST_CASE("a connection that waits for its peer asks whether it is still there") {
+// Guards against a stream whose engine lost power waiting until the request's deadline: the gateway had no
+// unacknowledged data, so only keep-alive probes reveal the loss.
+TEST_CASE("dropping a silent peer enables keep-alive probes on an idle connection") {
   boost::asio::io_context reactor;
   tcp::acceptor acceptor(reactor, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
   Connection::Socket socket(reactor);
   socket.connect(acceptor.local_endpoint());
   const int descriptor = socket.native_handle();
   Connection connection(std::move(socket));
-  CHECK(optionOf(descriptor, SOL_SOCKET, SO_KEEPALIVE) == 0);
+  CHECK(socketOption(descriptor, SOL_SOCKET, SO_KEEPALIVE) == 0);
   connection.dropWhenPeerIsSilent(absl::Seconds(1));
-  CHECK(optionOf(descriptor, SOL_SOCKET, SO_KEEPALIVE) == 1);
-  CHECK(optionOf(descriptor, IPPROTO_TCP, TCP_KEEPIDLE) == 1);
-  CHECK(optionOf(descriptor, IPPROTO_TCP, TCP_KEEPINTVL) == 1);
-  CHECK(optionOf(descriptor, IPPROTO_TCP, TCP_KEEPCNT) == 2);
-  CHECK(optionOf(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT) == 1000);
+  CHECK(socketOption(descriptor, SOL_SOCKET, SO_KEEPALIVE) == 1);
+  CHECK(socketOption(descriptor, IPPROTO_TCP, TCP_KEEPIDLE) == 1);
+  CHECK(socketOption(descriptor, IPPROTO_TCP, TCP_KEEPINTVL) == 1);
+  CHECK(socketOption(descriptor, IPPROTO_TCP, TCP_KEEPCNT) == 2);
+  CHECK(socketOption(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT) == 1000);
 }
 
 }  // namespace
--- a/tests/soak/callers.h
+++ b/tests/soak/callers.h
@@ -1,6 +1,6 @@
-// Callers that send checked requests over kept connections, and the entry that hands new connections to
-// gateways: it asks each second whether a gateway is ready, and takes it out after two misses. An open
-// connection stays with its gateway until one of them closes it.
+// Callers that send requests over keep-alive connections, and the load balancer that assigns new connections
+// to gateways. It polls the readiness of each gateway every second and removes it after two failed polls. An
+// open connection stays with its gateway until either side closes it.
 #pragma once
 
 #include <absl/time/time.h>
@@ -14,23 +14,23 @@
 
 #include "history.h"
 #include "processes.h"
-#include "reactor/http_caller.h"
+#include "reactor/http_client.h"
 #include "reactor/timer_queue.h"
 
 namespace quincewick::soak {
 
-class Entry {
+class LoadBalancer {
  public:
-  Entry(boost::asio::io_context& reactor, reactor::TimerQueue& timers, const Processes& processes);
-  // A gateway for a new connection of that caller.
+  LoadBalancer(boost::asio::io_context& reactor, reactor::TimerQueue& timers, const Processes& processes);
+  // Returns the gateway for a new connection of this caller.
   size_t choose(uint64_t caller);
-  bool isReady(size_t gateway) const { return gateways_[gateway].is_in; }
+  bool isReady(size_t gateway) const { return gateways_[gateway].is_ready; }
 
  private:
   struct Gateway {
-    std::unique_ptr<reactor::HttpCaller> caller;
-    int misses = 0;
-    bool is_in = false;
+    std::unique_ptr<reactor::HttpClient> caller;
+    int failed_polls = 0;
+    bool is_ready = false;
   };
   void poll(size_t gateway);
 
@@ -41,35 +41,36 @@
   uint64_t choices_ = 0;
 };
 
-// What a caller may ask for at the moment.
+// What callers may request at present.
 struct Traffic {
-  std::vector<std::string> keys;  // of tenants; some may have been taken away
+  std::vector<std::string> keys;  // of tenants; some may have been revoked
   bool has_new_route = false;
-  bool is_over = false;
+  bool is_finished = false;
 };
 
 class Caller {
  public:
-  Caller(boost::asio::io_context& reactor, reactor::TimerQueue& timers, History& history, Entry& entry,
-         const Processes& processes, const Traffic& traffic, uint64_t number, uint64_t seed);
+  Caller(boost::asio::io_context& reactor, reactor::TimerQueue& timers, History& history,
+         LoadBalancer& load_balancer, const Processes& processes, const Traffic& traffic, uint64_t number,
+         uint64_t seed);
   ~Caller();
 
  private:
-  class Talk;
-  void think();
-  void begin();
+  class GatewayConnection;
+  void scheduleNextRequest();
+  void sendNextRequest();
   Request makeRequest();
 
   boost::asio::io_context& reactor_;
   reactor::TimerQueue& timers_;
   History& history_;
-  Entry& entry_;
+  LoadBalancer& load_balancer_;
   const Processes& processes_;
   const Traffic& traffic_;
   uint64_t number_;
   std::mt19937_64 random_;
-  uint64_t asked_ = 0;
-  std::shared_ptr<Talk> talk_;
+  uint64_t request_count_ = 0;
+  std::shared_ptr<GatewayConnection> gateway_connection_;
 };
 
 }  // namespace quincewick::soak
